--- a/packages/fescuedrum-agent/src/fescuedrum_agent/connection/session.py
+++ b/packages/fescuedrum-agent/src/fescuedrum_agent/connection/session.py
@@ -3,8 +3,8 @@
 import asyncio
 import logging
 
-from fescuedrum.claims.frames import RequestNumbers
-from fescuedrum.events.event import tell
+from fescuedrum.claims.frames import DuplicateFilter
+from fescuedrum.events.event import log_event
 from fescuedrum.events.requests import SessionTaskFailed
 from fescuedrum.faults import ProtocolStep
 from fescuedrum.wire import codec
@@ -47,7 +47,7 @@
         self.connection = FrameConnection(reader, writer)
         self.loop = asyncio.get_running_loop()
         self.heard_at = self.loop.time()
-        self.numbers = RequestNumbers()
+        self.numbers = DuplicateFilter()
         self.peer = None
         # How often the entry wants heartbeats, and when the next is due.
         self.beat_interval = 0.0
@@ -106,11 +106,11 @@
             case frames.Fence():
                 self.spawn(self.answer_fence(body))
             case frames.Recorded():
-                self.agent.keyed.note_recorded(body, self.loop.time())
+                self.agent.keyed.mark_recorded(body, self.loop.time())
             case members.Heartbeat():
                 self.agent.heard(self, body)
             case members.DocumentBody():
-                self.agent.configuration.offer_frame(body)
+                self.agent.configuration.update_from_frame(body)
             case members.Pull():
                 if document := self.agent.configuration.answer(body):
                     self.connection.send(document=document)
@@ -142,4 +142,4 @@
     def forget(self, task):
         self.tasks.discard(task)
         if not task.cancelled() and task.exception():
-            tell(logger, SessionTaskFailed(), error=task.exception())
+            log_event(logger, SessionTaskFailed(), error=task.exception())
--- a/packages/fescuedrum-agent/src/fescuedrum_agent/process/agent.py
+++ b/packages/fescuedrum-agent/src/fescuedrum_agent/process/agent.py
@@ -11,7 +11,7 @@
 from fescuedrum.decisions.limits import EndpointLimit, Pace, Phase
 from fescuedrum.decisions.queueing import build_queue
 from fescuedrum.decisions.sharing import effective_weights
-from fescuedrum.events.event import tell
+from fescuedrum.events.event import log_event
 from fescuedrum.events.processes import (
     AgentDrained,
     AgentDraining,
@@ -27,7 +27,7 @@
 from fescuedrum.once import open_session
 from fescuedrum.process import cancel, on_reload, stop_event, stop_on_failure
 from fescuedrum.versions.configuration import Configuration
-from fescuedrum.versions.pulling import Pulls
+from fescuedrum.versions.pulling import PullThrottle
 from fescuedrum.wire.gen.frames.ttypes import Hello
 from fescuedrum.wire.gen.members.ttypes import Heartbeat, LoadReport, Pull
 from fescuedrum.wire.peers import Peers
@@ -85,7 +85,7 @@
         self.gate.close(zone_out=True)
         self.configuration = Configuration()
         self.configuration.subscribe(self.configuration_changed)
-        self.pulls = Pulls()
+        self.pulls = PullThrottle()
         self.sessions = set()
         self.tickets = {}
         self.peers = Peers(settings.peer_keys, settings.peer_tls, self.hello)
@@ -108,7 +108,7 @@
         reload = asyncio.create_task(self.peers.certificates.follow())
         operations = Operations(self)
         await operations.start()
-        tell(logger, AgentStarted(__version__))
+        log_event(logger, AgentStarted(__version__))
         beat = asyncio.create_task(self.beat())
         stop_on_failure([beat, reload], stop)
         lag = asyncio.create_task(watch_loop(self.metrics.loop_delay))
@@ -122,14 +122,14 @@
         await self.session.close()
         await self.single_session.close()
         await operations.stop()
-        tell(logger, AgentStopped())
+        log_event(logger, AgentStopped())
 
     async def serve_connection(self, reader, writer):
         session = Session(self, reader, writer)
         try:
             await session.run()
         except ProtocolError as error:
-            tell(logger, EntryRefused(str(error)))
+            log_event(logger, EntryRefused(str(error)))
         finally:
             self.sessions.discard(session)
 
@@ -140,7 +140,7 @@
 
     async def drain(self):
         """Refuse new work and let running requests end; return the time for that."""
-        tell(logger, AgentDraining(len(self.tickets)))
+        log_event(logger, AgentDraining(len(self.tickets)))
         self.gate.close(leaving=True)
         self.send_heartbeats()
         loop = asyncio.get_running_loop()
@@ -151,7 +151,7 @@
             await asyncio.sleep(DRAIN_POLL_SECONDS)
         unsent = sum(session.connection.unsent_bytes for session in self.sessions)
         seconds = round(loop.time() - now, 3)
-        tell(logger, AgentDrained(len(self.tickets), unsent, seconds))
+        log_event(logger, AgentDrained(len(self.tickets), unsent, seconds))
         return deadline
 
     async def take_leave(self, deadline):
@@ -176,7 +176,7 @@
         """
         if self.tickets or any(session.busy for session in self.sessions):
             return True
-        return self.keyed.has_untaken(asyncio.get_running_loop().time())
+        return self.keyed.has_unacknowledged(asyncio.get_running_loop().time())
 
     async def beat(self):
         while True:
@@ -195,7 +195,7 @@
         """
         for session in list(self.sessions):
             if now - session.heard_at > self.allowed_silence(session):
-                tell(logger, EntrySilent(session.peer))
+                log_event(logger, EntrySilent(session.peer))
                 session.connection.writer.transport.abort()
 
     def allowed_silence(self, session):
@@ -253,12 +253,12 @@
         session.beat_interval = (heartbeat.wanted_interval_ms or 0) / 1000
         announced, in_force = heartbeat.version or 0, self.configuration.version
         now = asyncio.get_running_loop().time()
-        if self.pulls.should_ask(announced, in_force, now):
+        if self.pulls.should_pull(announced, in_force, now):
             session.connection.send(pull=Pull())
 
     def configuration_changed(self):
         was_out = self.gate.zone_out
-        self.gate.close(zone_out=self.configuration.zone_is_out(self.settings.zone))
+        self.gate.close(zone_out=self.configuration.is_zone_out(self.settings.zone))
         if was_out and not self.gate.zone_out:
             # Whatever was done to the zone, nothing shows that the endpoint is warm.
             self.gate.limit.reset(Phase.COLD)
--- a/packages/fescuedrum-agent/src/fescuedrum_agent/request/keyed.py
+++ b/packages/fescuedrum-agent/src/fescuedrum_agent/request/keyed.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from fescuedrum.claims.ledger import Admission, Ledger, RecordState, Verdict
+from fescuedrum.claims.ledger import Admission, FenceResult, Ledger, RecordState
 from fescuedrum.decisions.admission import RefusalReason
 from fescuedrum.faults import ProtocolStep
 from fescuedrum.outcomes import Outcome
@@ -62,24 +62,24 @@
         self.ledger.finish(request.key, outcome, len(answer.body), now)
         self.faults.reach(ProtocolStep.AGENT_ENDED)
 
-    def note_recorded(self, body, now):
+    def mark_recorded(self, body, now):
         keep = bool(body.keep_answer)
-        self.ledger.note_recorded(body.key, now, keep_answer=keep)
+        self.ledger.mark_recorded(body.key, now, keep_answer=keep)
         self.faults.reach(ProtocolStep.AGENT_RECORDED)
 
-    def has_untaken(self, now):
+    def has_unacknowledged(self, now):
         """Tell whether an entry may still come for what ran here a moment ago.
 
         The failure: an entry's connection is lost while its booking runs at an agent
         that stops. The booking ends, and the agent with it, before the entry is back
         to ask; it ends as unknown. An entry that has an answer says so.
         """
-        return self.ledger.has_untaken(now - TAKING_SECONDS)
+        return self.ledger.has_unacknowledged(now - TAKING_SECONDS)
 
     def sweep(self, now):
         self.ledger.sweep(now)
 
-    async def fence(self, fence) -> Verdict:
+    async def fence(self, fence) -> FenceResult:
         """Wait a little for a request on its way, then fence what has not come."""
         loop = asyncio.get_running_loop()
         patience = min((fence.patience_ms or 0) / 1000, MAXIMUM_PATIENCE_SECONDS)
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/site.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/site.py
@@ -17,7 +17,7 @@
 from fescuedrum.conf.safety import Allowance
 from fescuedrum.platform.client import PlatformClient
 from fescuedrum.platform.interfaces import Instance
-from fescuedrum.versions.apply import Applier, Proposal
+from fescuedrum.versions.apply import ChangeApplier, Proposal
 from fescuedrum_bench.faultproxy import FaultProxy
 from fescuedrum_bench.member import (
     PORT,
@@ -289,7 +289,7 @@
 
     async def apply(self, document):
         """Put a document in force as the platform's operators would."""
-        applier = Applier(PlatformClient(self.platform.url, self.session))
+        applier = ChangeApplier(PlatformClient(self.platform.url, self.session))
         proposal = Proposal(
             self.version,
             document,
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/connection/callers.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/connection/callers.py
@@ -5,7 +5,7 @@
 from aiohttp import web
 from aiohttp.http_exceptions import LineTooLong
 
-from fescuedrum.events.event import tell
+from fescuedrum.events.event import log_event
 from fescuedrum.events.requests import MalformedHttp
 from fescuedrum.exceptions import BadRequest
 from fescuedrum.headers import is_text
@@ -33,7 +33,7 @@
         too_large = isinstance(exc, LineTooLong) or "Too many" in (message or "")
         error = errors.from_status(HEADERS_TOO_LARGE_STATUS if too_large else status)
         error.closes = True
-        tell(logger, MalformedHttp(request.remote, str(error)))
+        log_event(logger, MalformedHttp(request.remote, str(error)))
         return errors.error_response(error, errors.new_request_id())
 
 
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/connection/link.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/connection/link.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from fescuedrum.decisions.pacing import Backoff
-from fescuedrum.events.event import tell
+from fescuedrum.events.event import log_event
 from fescuedrum.events.processes import ConnectionEnded, ConnectionSilent
 from fescuedrum.exceptions import ProtocolError
 from fescuedrum.wire import codec
@@ -161,7 +161,7 @@
             try:
                 await self.serve(backoff)
             except (OSError, TimeoutError, ProtocolError) as error:
-                tell(logger, ConnectionEnded(self.instance.name, str(error)))
+                log_event(logger, ConnectionEnded(self.instance.name, str(error)))
             finally:
                 self.lose()
             await asyncio.sleep(backoff.next_wait())
@@ -200,7 +200,7 @@
         while self.loop.time() - self.heard_at < members.allowed_silence():
             connection.send(heartbeat=self.entry.heartbeat())
             await asyncio.sleep(members.interval())
-        tell(logger, ConnectionSilent(self.instance.name))
+        log_event(logger, ConnectionSilent(self.instance.name))
         # A plain close would wait for the peer to take what is still buffered.
         connection.writer.transport.abort()
 
@@ -214,7 +214,7 @@
             case members.Pull():
                 self.entry.following.answer(self, body)
             case members.DocumentBody():
-                self.entry.configuration.offer_frame(body)
+                self.entry.configuration.update_from_frame(body)
             case None:
                 self.unexpected_frames += 1
             case _:
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/connection/peer.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/connection/peer.py
@@ -4,7 +4,7 @@
 import logging
 
 from fescuedrum.decisions.pacing import Backoff
-from fescuedrum.events.event import tell
+from fescuedrum.events.event import log_event
 from fescuedrum.events.processes import PeerNotReached, PeerRefused
 from fescuedrum.exceptions import ProtocolError
 from fescuedrum.wire import codec
@@ -58,7 +58,7 @@
             case members.Pull():
                 self.entry.following.answer(self.connection, body)
             case members.DocumentBody():
-                self.entry.configuration.offer_frame(body)
+                self.entry.configuration.update_from_frame(body)
             case members.ZoneDigest():
                 self.entry.members.take_digest(self, body)
             case members.ListingPull():
@@ -88,7 +88,7 @@
                 backoff.succeeded()
                 await channel.run()
             except (OSError, TimeoutError, ProtocolError) as error:
-                tell(logger, PeerNotReached(self.name, str(error)))
+                log_event(logger, PeerNotReached(self.name, str(error)))
             await asyncio.sleep(backoff.next_wait())
 
     async def connect(self):
@@ -111,6 +111,6 @@
         hello = await connection.handshake(entry.peers.agent_side())
         await Channel(entry, connection, hello).run()
     except (OSError, ProtocolError) as error:
-        tell(logger, PeerRefused(str(error)))
+        log_event(logger, PeerRefused(str(error)))
     finally:
         writer.transport.abort()
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/operators/changes.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/operators/changes.py
@@ -16,8 +16,8 @@
     ChangeRaced,
     StoreUnavailable,
 )
-from fescuedrum.versions.apply import Applier, Proposal
-from fescuedrum.versions.audit import read_head, read_trail, verify
+from fescuedrum.versions.apply import ChangeApplier, Proposal
+from fescuedrum.versions.audit import read_audit_records, read_head, verify_records
 from fescuedrum_entry.operators.access import ACCOUNT, require_role
 from fescuedrum_entry.operators.accounts import Role
 from fescuedrum_entry.request.errors import error_response, new_request_id, stopping
@@ -67,7 +67,7 @@
         configuration = self.entry.configuration
         try:
             head, _ = await read_head(self.entry.platform)
-            applier = Applier(self.entry.platform)
+            applier = ChangeApplier(self.entry.platform)
             document = await applier.read_document(head.hash)
             return Newest(head.version, head.hash, document, True)
         except StoreUnavailable:
@@ -159,9 +159,9 @@
         would be in force, and its operator would see a broken connection.
         """
         self.check_stop()
-        applier = Applier(self.entry.platform)
+        applier = ChangeApplier(self.entry.platform)
         accepted = await applier.apply(proposal, self.entry.served_zones())
-        self.entry.configuration.offer(
+        self.entry.configuration.update_if_newer(
             accepted.version, accepted.document_hash, accepted.body
         )
         return accepted
@@ -169,8 +169,8 @@
     async def audit(self, request):
         count = read_count(request)
         head, _ = await read_head(self.entry.platform)
-        records = await read_trail(self.entry.platform, head.version, count)
-        findings = verify(records, head, whole=count >= head.version)
+        records = await read_audit_records(self.entry.platform, head.version, count)
+        findings = verify_records(records, head, whole=count >= head.version)
         return web.json_response(
             {
                 "version": head.version,
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/operators/console/routes.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/operators/console/routes.py
@@ -14,8 +14,8 @@
     ChangeUnsettled,
     FescuedrumError,
 )
-from fescuedrum.versions.apply import Applier, Proposal
-from fescuedrum.versions.audit import read_head, read_trail, verify
+from fescuedrum.versions.apply import ChangeApplier, Proposal
+from fescuedrum.versions.audit import read_audit_records, read_head, verify_records
 from fescuedrum.versions.records import audit_key, load_record
 from fescuedrum_entry.operators import status
 from fescuedrum_entry.operators.access import ACCOUNT
@@ -112,8 +112,10 @@
 
     async def show_audit(self, request):
         head, _ = await read_head(self.entry.platform)
-        records = await read_trail(self.entry.platform, head.version, AUDIT_ROWS)
-        findings = verify(records, head, whole=head.version <= AUDIT_ROWS)
+        records = await read_audit_records(
+            self.entry.platform, head.version, AUDIT_ROWS
+        )
+        findings = verify_records(records, head, whole=head.version <= AUDIT_ROWS)
         return self.pages.render(
             request,
             "audit.html",
@@ -186,7 +188,7 @@
         record = load_record(row)
         if record is None:
             raise BadRequest(f"There is no version {draft.base_version}.")
-        return await Applier(self.entry.platform).read_document(record.after)
+        return await ChangeApplier(self.entry.platform).read_document(record.after)
 
     async def apply(self, request, form):
         """Apply a draft; show both sides of a race, or what is not known."""
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/process/ages.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/process/ages.py
@@ -10,7 +10,7 @@
 import asyncio
 import logging
 
-from fescuedrum.events.event import tell
+from fescuedrum.events.event import log_event
 from fescuedrum.events.tables import AgesNotRead
 from fescuedrum.exceptions import StoreUnavailable
 from fescuedrum.platform.interfaces import Write
@@ -58,7 +58,7 @@
             try:
                 await self.step(kept)
             except StoreUnavailable as error:
-                tell(logger, AgesNotRead(str(error)))
+                log_event(logger, AgesNotRead(str(error)))
             await asyncio.sleep(min(self.seconds / 4, MAXIMUM_WAIT_SECONDS))
 
     async def current(self):
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/process/entry.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/process/entry.py
@@ -11,7 +11,7 @@
 from fescuedrum import __version__, serving
 from fescuedrum.decisions.retries import ServiceRetries
 from fescuedrum.decisions.stopping import StopPlan
-from fescuedrum.events.event import tell
+from fescuedrum.events.event import log_event
 from fescuedrum.events.processes import (
     EntryDrained,
     EntryDraining,
@@ -138,7 +138,7 @@
             self.callers = runner.server
             await self.listen(runner)
             peer_server = await self.members.listen()
-            tell(logger, EntryStarted(__version__))
+            log_event(logger, EntryStarted(__version__))
             await stop.wait()
             await self.drain()
             await serving.deliver(self.stop_plan, self.callers, runner)
@@ -146,7 +146,7 @@
                 peer_server.close()
             await runner.cleanup()
             await cancel([*tasks, *self.link_tasks.values()])
-        tell(logger, EntryStopped())
+        log_event(logger, EntryStopped())
 
     async def listen(self, runner):
         settings = self.settings
@@ -180,7 +180,7 @@
     async def readyz(self, _):
         configuration = self.configuration
         # Callers that come to a zone taken out would cross to another for nothing.
-        zone_out = configuration.zone_is_out(self.settings.zone)
+        zone_out = configuration.is_zone_out(self.settings.zone)
         loaded = configuration.document is not None
         ready = loaded and not self.leaving and not zone_out
         body = {"ready": ready, "version": self.configuration.version}
@@ -202,11 +202,11 @@
         plan = self.stop_plan = StopPlan(loop.time(), seconds, notice)
         self.send_heartbeats()
         self.callers.leave(plan.latest)
-        tell(logger, EntryDraining(self.running, len(self.callers.connections)))
+        log_event(logger, EntryDraining(self.running, len(self.callers.connections)))
         await serving.let_run(plan, self.callers, self.count_running)
         seconds = round(loop.time() - plan.began, 3)
         open_connections = len(self.callers.connections)
-        tell(logger, EntryDrained(self.running, open_connections, seconds))
+        log_event(logger, EntryDrained(self.running, open_connections, seconds))
 
     def count_running(self):
         """Count what a stop waits for.
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/process/fairness.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/process/fairness.py
@@ -6,8 +6,8 @@
 from fescuedrum.decisions.comparison import Observation
 from fescuedrum.decisions.fairness import FairnessWatch
 from fescuedrum.decisions.queueing import priority_class
-from fescuedrum.events.event import tell
-from fescuedrum.events.requests import FairnessCleared, FairnessFound
+from fescuedrum.events.event import log_event
+from fescuedrum.events.requests import FairnessFindingCleared, FairnessFindingReported
 from fescuedrum.outcomes import Outcome
 
 logger = logging.getLogger(__name__)
@@ -65,14 +65,14 @@
             before = {(each.organisation, each.id) for each in self.watch.findings()}
             for organisation in interval.organisations:
                 for finding in self.watch.judge(organisation, interval, loop.time()):
-                    tell(logger, FairnessFound(str(finding)))
+                    log_event(logger, FairnessFindingReported(str(finding)))
                 await asyncio.sleep(0)
             self.report_cleared(before)
 
     def report_cleared(self, before):
         standing = {(each.organisation, each.id) for each in self.watch.findings()}
         for organisation, name in before - standing:
-            tell(logger, FairnessCleared(organisation, name))
+            log_event(logger, FairnessFindingCleared(organisation, name))
 
     def report(self, now):
         """Return findings and accounts as JSON values."""
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/process/members.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/process/members.py
@@ -17,7 +17,7 @@
 )
 from fescuedrum.decisions.membership import Beat, Membership
 from fescuedrum.decisions.pacing import allowed_silence, beat_interval
-from fescuedrum.events.event import tell
+from fescuedrum.events.event import log_event
 from fescuedrum.events.tables import InstancesNotRead
 from fescuedrum.exceptions import StoreUnavailable
 from fescuedrum.platform.client import load_instances
@@ -151,7 +151,7 @@
                     self.spread_listing()
                 self.choose_connections()
             except StoreUnavailable as error:
-                tell(logger, InstancesNotRead(str(error)))
+                log_event(logger, InstancesNotRead(str(error)))
             await asyncio.sleep(self.read_interval())
 
     def take_instances(self, instances):
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/request/collector.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/request/collector.py
@@ -3,7 +3,7 @@
 import logging
 
 from fescuedrum.claims.record import RecordedAnswer
-from fescuedrum.events.event import tell
+from fescuedrum.events.event import log_event
 from fescuedrum.events.requests import CallerLeftKeyed
 from fescuedrum.outcomes import Outcome
 from fescuedrum.wire.gen.frames import ttypes as frames
@@ -61,7 +61,7 @@
             await step
         except ConnectionError:
             self.caller_left = True
-            tell(logger, CallerLeftKeyed())
+            log_event(logger, CallerLeftKeyed())
 
     def recorded(self, outcome):
         """Return the answer for the key's row, or None when it is too large."""
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/request/errors.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/request/errors.py
@@ -5,8 +5,8 @@
 
 from aiohttp import web
 
-from fescuedrum.events.event import tell
-from fescuedrum.events.requests import RequestBroke
+from fescuedrum.events.event import log_event
+from fescuedrum.events.requests import RequestHandlerFailed
 from fescuedrum.exceptions import (
     BadRequest,
     FescuedrumError,
@@ -96,7 +96,7 @@
         if not is_callers(http_request):
             raise
         request_id = new_request_id()
-        tell(logger, RequestBroke(request_id), error=error)
+        log_event(logger, RequestHandlerFailed(request_id), error=error)
         return error_response(FescuedrumError(), request_id)
 
 
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/request/handler.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/request/handler.py
@@ -5,9 +5,9 @@
 
 from aiohttp import web
 
-from fescuedrum.events.event import tell
+from fescuedrum.events.event import log_event
 from fescuedrum.events.requests import (
-    RequestBroke,
+    RequestHandlerFailed,
     RequestNotAnswered,
     RequestNotRun,
 )
@@ -161,7 +161,7 @@
         # would cost as much as the refusal; metrics and traces tell of them.
         refused = error.outcome is Outcome.NOT_RUN
         event = RequestNotRun if refused else RequestNotAnswered
-        tell(logger, event(error.code))
+        log_event(logger, event(error.code))
         if not reply.started:
             raise error
         await reply.break_off(error)
@@ -171,7 +171,7 @@
     """Return an error that a caller may see; log one that is a fault of this code."""
     if isinstance(error, FescuedrumError):
         return error
-    tell(logger, RequestBroke(), error=error)
+    log_event(logger, RequestHandlerFailed(), error=error)
     return FescuedrumError()
 
 
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/request/keyed.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/request/keyed.py
@@ -5,7 +5,7 @@
 
 from fescuedrum.claims import steps
 from fescuedrum.claims.keyed import KeyedRequest
-from fescuedrum.claims.ledger import Verdict
+from fescuedrum.claims.ledger import FenceResult
 from fescuedrum.decisions.admission import RefusalReason
 from fescuedrum.exceptions import (
     DeadlinePassed,
@@ -295,7 +295,7 @@
             await asyncio.sleep(ASK_RETRY_SECONDS)
             return steps.CannotAsk()
         self.entry.faults.reach(ProtocolStep.ENTRY_FENCED)
-        return steps.Answered(Verdict(reply.verdict))
+        return steps.Answered(FenceResult(reply.verdict))
 
     async def end(self, step):
         """Give the caller the end of the answer, then keep it in the key's row."""
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/version/following.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/version/following.py
@@ -3,11 +3,11 @@
 import asyncio
 import logging
 
-from fescuedrum.events.event import tell
+from fescuedrum.events.event import log_event
 from fescuedrum.events.tables import HeadNotRead
 from fescuedrum.exceptions import StoreUnavailable
 from fescuedrum.versions.audit import read_head
-from fescuedrum.versions.pulling import Pulls
+from fescuedrum.versions.pulling import PullThrottle
 from fescuedrum.versions.records import object_name
 from fescuedrum.wire.gen.members.ttypes import Pull
 
@@ -22,7 +22,7 @@
     def __init__(self, configuration, platform):
         self.configuration = configuration
         self.platform = platform
-        self.pulls = Pulls()
+        self.pulls = PullThrottle()
         self.reads = 0
         self.loop = asyncio.get_running_loop()
 
@@ -32,7 +32,7 @@
             try:
                 await self.refresh()
             except StoreUnavailable as error:
-                tell(logger, HeadNotRead(str(error)))
+                log_event(logger, HeadNotRead(str(error)))
             await asyncio.sleep(interval())
 
     async def refresh(self):
@@ -43,13 +43,13 @@
             return
         body = await self.platform.get_object(object_name(head.hash))
         if body is not None:
-            self.configuration.offer(head.version, head.hash, body)
+            self.configuration.update_if_newer(head.version, head.hash, body)
 
     def heard(self, connection, heartbeat):
         """Pull from a peer that announces a newer version."""
         announced = heartbeat.version or 0
         in_force = self.configuration.version
-        if self.pulls.should_ask(announced, in_force, self.loop.time()):
+        if self.pulls.should_pull(announced, in_force, self.loop.time()):
             connection.send(pull=Pull())
 
     def answer(self, connection, pull):
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/connection/callers.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/connection/callers.py
@@ -4,7 +4,7 @@
 
 from aiohttp import web
 
-from fescuedrum.events.event import tell
+from fescuedrum.events.event import log_event
 from fescuedrum.events.requests import MalformedHttp
 from fescuedrum.serving import LINGERING_SECONDS, HeldConnection, HeldServer
 
@@ -22,7 +22,7 @@
         """Answer what the HTTP parser refused, or a fault of this code."""
         if status != BAD_REQUEST_STATUS:
             return super().handle_error(request, status, exc, message)
-        tell(logger, MalformedHttp(request.remote, str(exc)))
+        log_event(logger, MalformedHttp(request.remote, str(exc)))
         response = web.Response(status=status, text="The request is no valid HTTP.")
         response.force_close()
         return response
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/demand.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/demand.py
@@ -4,7 +4,7 @@
 import logging
 
 from fescuedrum.decisions.experts.demand import Demand
-from fescuedrum.events.event import tell
+from fescuedrum.events.event import log_event
 from fescuedrum.events.groups import CountsNotRead
 
 logger = logging.getLogger(__name__)
@@ -88,7 +88,7 @@
         )
         usable = [each for each in answers if each and each.epoch == group.epoch]
         if len(usable) < len(answers):
-            tell(logger, CountsNotRead(group.name, len(answers), len(usable)))
+            log_event(logger, CountsNotRead(group.name, len(answers), len(usable)))
             sample.demand.restart()
             return False
         counts = sum_up([each.counts for each in usable])
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/directory.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/directory.py
@@ -30,7 +30,7 @@
 )
 from fescuedrum.decisions.rooms import room
 from fescuedrum.decisions.shares import BoundShares
-from fescuedrum.events.event import tell
+from fescuedrum.events.event import log_event
 from fescuedrum.events.tables import (
     EndpointGone,
     EndpointLimited,
@@ -120,7 +120,7 @@
             if row.value is None:
                 self.presences.unlisted(row.key, now)
                 self.forget(row.key)
-                tell(logger, EndpointUnlisted(row.key, row.version))
+                log_event(logger, EndpointUnlisted(row.key, row.version))
             else:
                 self.take_endpoint(row, now)
         self.expire()
@@ -131,7 +131,9 @@
         except RowNotUnderstood as error:
             # It names no endpoint; the others of the list hold.
             self.presences.unlisted(row.key, now)
-            tell(logger, EndpointRowNotUnderstood(row.key, row.version, error.detail))
+            log_event(
+                logger, EndpointRowNotUnderstood(row.key, row.version, error.detail)
+            )
             return
         known = self.presences.by_name.get(endpoint.name)
         if known is not None and known.endpoint.started_at != endpoint.started_at:
@@ -148,22 +150,22 @@
                 state=endpoint.state.value,
                 cold_seconds=endpoint.cold_seconds,
             )
-            tell(logger, event)
+            log_event(logger, event)
 
     def take_zone(self, row):
         """Take a row that says whether a zone is out of service."""
         said = self.adapter.read_operators_row(row) if row.value is not None else None
         if isinstance(said, ZoneOut):
             self.zones_out[row.key] = said.zone
-            tell(logger, ZoneTakenOut(said.zone, row.key, row.version))
+            log_event(logger, ZoneTakenOut(said.zone, row.key, row.version))
         elif self.zones_out.pop(row.key, None) is not None:
-            tell(logger, ZoneTakenBack(row.key, row.version))
+            log_event(logger, ZoneTakenBack(row.key, row.version))
 
     def expire(self):
         """Drop endpoints whose entries lapsed and did not come back."""
         for name in self.presences.expire(self.loop.time()):
             self.forget(name)
-            tell(logger, EndpointGone(name))
+            log_event(logger, EndpointGone(name))
 
     def forget(self, name: str) -> None:
         """Drop what is known beyond the list of an endpoint that is gone."""
@@ -175,7 +177,7 @@
     def take_rate(self, endpoint: ListedEndpoint, rate: Rate) -> None:
         """Take what an endpoint's own answer says of its rate."""
         if isinstance(rate, NotUnderstood):
-            tell(logger, EndpointRateNotUnderstood(endpoint.name, rate.text))
+            log_event(logger, EndpointRateNotUnderstood(endpoint.name, rate.text))
         if self.rate_limits.observe(endpoint.name, rate, self.loop.time()):
             self.tell_rate(endpoint.name, rate, "")
 
@@ -192,9 +194,9 @@
     def tell_rate(self, endpoint: str, rate: Limited | Unlimited, host: str) -> None:
         match rate:
             case Limited(per_second):
-                tell(logger, EndpointLimited(endpoint, per_second, host))
+                log_event(logger, EndpointLimited(endpoint, per_second, host))
             case Unlimited():
-                tell(logger, EndpointLimited(endpoint, None, host))
+                log_event(logger, EndpointLimited(endpoint, None, host))
 
     # Choosing
 
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/duty.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/duty.py
@@ -4,7 +4,7 @@
 import logging
 
 from fescuedrum.events import groups as events
-from fescuedrum.events.event import tell
+from fescuedrum.events.event import log_event
 from fescuedrum_gateway.process.keeper import build_keeper
 
 logger = logging.getLogger(__name__)
@@ -49,7 +49,7 @@
         leads = self.gateway.ready and self.gateway.peers.is_first()
         if leads != self.leads:
             self.leads = leads
-            tell(logger, events.GroupDuty(leads))
+            log_event(logger, events.GroupDutyChanged(leads))
             for keeper in self.keepers.values():
                 keeper.forget()
 
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/followers.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/followers.py
@@ -9,7 +9,7 @@
 from aiohttp import web
 
 from fescuedrum.events import tables as events
-from fescuedrum.events.event import tell
+from fescuedrum.events.event import log_event
 from fescuedrum.events.processes import PeerGaveNoChanges
 from fescuedrum.exceptions import HistoryLost, StoreUnavailable
 from fescuedrum.platform.interfaces import Changes, VersionedRow
@@ -94,7 +94,7 @@
                 whole = await self.step(whole)
                 pause = FIRST_RETRY_SECONDS
             except HistoryLost:
-                tell(logger, events.HistoryLost(self.name))
+                log_event(logger, events.HistoryLost(self.name))
                 whole = True
             except StoreUnavailable as error:
                 self.note_answers(False, error.detail)
@@ -117,7 +117,7 @@
         if changes.version < self.replica.version:
             # The store answers from behind: what is in force here is newer.
             known = self.replica.version
-            tell(logger, events.StaleRead(self.name, changes.version, known))
+            log_event(logger, events.StaleRead(self.name, changes.version, known))
             await asyncio.sleep(STALE_RETRY_SECONDS)
             return True
         self.apply(changes, "store")
@@ -126,7 +126,7 @@
     def rest(self):
         """Leave the store to others."""
         if self.answers is not None:
-            tell(logger, events.StoreLeftToOthers(self.name))
+            log_event(logger, events.StoreLeftToOthers(self.name))
             self.answers = None
 
     def note_answers(self, answers, detail=""):
@@ -134,9 +134,9 @@
             return
         self.answers = answers
         if answers:
-            tell(logger, events.StoreAnswers(self.name))
+            log_event(logger, events.StoreAnswers(self.name))
         else:
-            tell(logger, events.StoreLost(self.name, detail))
+            log_event(logger, events.StoreLost(self.name, detail))
         self.store_changed()
 
     @property
@@ -159,7 +159,7 @@
             to_version=self.replica.version,
             source=source,
         )
-        tell(logger, event)
+        log_event(logger, event)
         self.take(rows)
 
     # From peers
@@ -208,12 +208,12 @@
             async with self.session.get(url, params=params, timeout=timeout) as answer:
                 changes = load_changes(await answer.json())
         except (TimeoutError, aiohttp.ClientError, OSError, ValueError) as error:
-            tell(logger, PeerGaveNoChanges(self.name, peer.host, repr(error)))
+            log_event(logger, PeerGaveNoChanges(self.name, peer.host, repr(error)))
             return False
         self.apply(changes, peer.host)
         return True
 
-    def tell(self, after):
+    def dump_changes_after(self, after):
         """Return what a peer at a version lacks, as JSON."""
         return dump_changes(self.replica.changes_after(after))
 
@@ -227,7 +227,7 @@
         after = request.query.get("after", "")
         if follower is None or not after.lstrip("-").isdigit():
             return web.Response(status=400, text="Name a table and a version.")
-        response = web.json_response(follower.tell(int(after)))
+        response = web.json_response(follower.dump_changes_after(int(after)))
         if len(response.body) > COMPRESSED_BYTES:
             # A configuration of a thousand routes is half a megabyte; where a hundred
             # gateways ask six for it over narrow links, none has it in time.
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/gateway.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/gateway.py
@@ -14,7 +14,7 @@
 from fescuedrum.decisions.retries import SharedRetryBudget
 from fescuedrum.decisions.returns import UsualPatience
 from fescuedrum.decisions.stopping import StopPlan
-from fescuedrum.events.event import tell
+from fescuedrum.events.event import log_event
 from fescuedrum.events.processes import (
     AddressNotWritten,
     GatewayDrained,
@@ -139,7 +139,7 @@
             duty = GroupDuty(self, engines)
             lasting += [self.peers.run, self.announce, duty.run, self.watch_loop]
             tasks = [asyncio.create_task(keep_running(work)) for work in lasting]
-            tell(logger, GatewayStarted(__version__))
+            log_event(logger, GatewayStarted(__version__))
             await stop.wait()
             await self.drain()
             callers, own = runners
@@ -149,7 +149,7 @@
             await own.cleanup()
             await cancel(tasks)
             self.peers.close()
-        tell(logger, GatewayStopped(cut))
+        log_event(logger, GatewayStopped(cut))
 
     def build_followers(self):
         tables = (
@@ -232,7 +232,9 @@
                     return
             self.directory.take_zone(row)
         except RowNotUnderstood as error:
-            tell(logger, OperatorsRowNotUnderstood(row.key, row.version, error.detail))
+            log_event(
+                logger, OperatorsRowNotUnderstood(row.key, row.version, error.detail)
+            )
 
     def take_endpoint_rows(self, rows):
         self.directory.take_endpoint_rows(rows)
@@ -291,7 +293,7 @@
         """
         settings = self.reread()
         if settings is not None:
-            tell(logger, SettingsReloaded(settings.seeds))
+            log_event(logger, SettingsReloaded(settings.seeds))
             self.settings.seeds = settings.seeds
             self.add_seeds()
 
@@ -310,7 +312,7 @@
                     self.peers.add_host(row.value.decode(errors="replace"))
                 return
             except StoreUnavailable as error:
-                tell(logger, AddressNotWritten(error.detail))
+                log_event(logger, AddressNotWritten(error.detail))
                 await asyncio.sleep(ANNOUNCE_RETRY_SECONDS)
 
     async def watch_loop(self):
@@ -324,11 +326,11 @@
         plan = self.stop_plan = StopPlan(loop.time(), self.settings.stop_seconds)
         self.peers.tell_now()
         self.callers.leave(plan.latest)
-        tell(logger, GatewayDraining(self.running, len(self.callers.connections)))
+        log_event(logger, GatewayDraining(self.running, len(self.callers.connections)))
         await serving.let_run(plan, self.callers, lambda: self.running)
         seconds = round(loop.time() - plan.began, 3)
         open_connections = len(self.callers.connections)
-        tell(logger, GatewayDrained(self.running, open_connections, seconds))
+        log_event(logger, GatewayDrained(self.running, open_connections, seconds))
 
 
 async def start(runner, *addresses):
@@ -351,5 +353,5 @@
             await work()
             return
         except Exception as error:
-            tell(logger, TaskFailed(), error=error)
+            log_event(logger, TaskFailed(), error=error)
             await asyncio.sleep(FAILED_TASK_SECONDS)
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/groups.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/groups.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from fescuedrum.decisions.experts import even
-from fescuedrum.events.event import tell
+from fescuedrum.events.event import log_event
 from fescuedrum.events.groups import GroupFound, GroupNotWhole
 from fescuedrum.groups.switching import newest_version
 from fescuedrum_gateway.process.demand import DemandSample
@@ -98,7 +98,7 @@
         """Take a group all of whose ranks were found."""
         _, first = next(iter(members.values()))
         if set(members) != set(range(first.ranks)):
-            tell(logger, GroupNotWhole(name, len(members), first.ranks))
+            log_event(logger, GroupNotWhole(name, len(members), first.ranks))
             return
         addresses = {rank: address for rank, (address, _) in members.items()}
         held = await self.read_held(addresses, first, profile)
@@ -115,7 +115,7 @@
             version=version,
             seen_step=first.step,
         )
-        tell(logger, GroupFound(name, epoch, len(members), first.map_version))
+        log_event(logger, GroupFound(name, epoch, len(members), first.map_version))
 
     async def read_held(self, addresses, report, profile):
         """Return the map in force; None when a rank does not tell."""
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/keeper.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/keeper.py
@@ -5,7 +5,7 @@
 
 from fescuedrum.decisions.experts import even
 from fescuedrum.decisions.experts.worth import least_improvement, limits_of
-from fescuedrum.events.event import tell
+from fescuedrum.events.event import log_event
 from fescuedrum.events.groups import (
     GroupBeganAnew,
     GroupHasOtherMap,
@@ -94,7 +94,7 @@
         for group in list(self.finder.groups.values()):
             settled = now - group.sample.read_at >= SETTLE_SECONDS
             if settled and group.held_step is None:
-                tell(logger, StreamsSlowedDown(group.name))
+                log_event(logger, StreamsSlowedDown(group.name))
                 if not await self.measure(group):
                     self.finder.lose(group)
 
@@ -107,7 +107,7 @@
             # The engine may be silent for a moment; the group is still the same.
             return True
         if report.epoch != group.epoch or not report.is_open:
-            tell(logger, GroupBeganAnew(group.name))
+            log_event(logger, GroupBeganAnew(group.name))
             return False
         if report.held_step is not None:
             return await self.watch_hold(group, report)
@@ -115,7 +115,7 @@
         if group.has_other_map(report):
             # Plans by the map that was would be refused for ever: they bring ranks
             # more new experts than these take.
-            tell(logger, GroupHasOtherMap(group.name, report.map_version))
+            log_event(logger, GroupHasOtherMap(group.name, report.map_version))
             return False
         if report.step == group.seen_step:
             # An idle group makes no passes: nothing is in demand, and reads are dear.
@@ -233,7 +233,7 @@
             skew_before=round(even.skew(group.held, loads), 3),
             skew_after=round(even.skew(planned, loads), 3),
         )
-        tell(logger, begun)
+        log_event(logger, begun)
         began = self.loop.time()
         switch = Switch(self.engines, group.addresses, group.epoch, change)
         result = await switch.run()
@@ -254,7 +254,7 @@
             seconds=round(seconds, 3),
             step=step,
         )
-        tell(logger, ended)
+        log_event(logger, ended)
 
     def build_change(self, group, planned, pass_seconds):
         block = group.version // VERSION_BLOCK + 1
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/peers.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/peers.py
@@ -16,7 +16,7 @@
     Unlimited,
     is_rate,
 )
-from fescuedrum.events.event import tell
+from fescuedrum.events.event import log_event
 from fescuedrum.events.processes import (
     DatagramNotUnderstood,
     DatagramRefused,
@@ -124,7 +124,7 @@
 
     def error_received(self, exc):
         # A host without a listener says so; it is asked again later.
-        tell(logger, DatagramRefused(repr(exc)))
+        log_event(logger, DatagramRefused(repr(exc)))
 
     def close(self):
         """Send nothing from now on; a beacon that is due would find no socket."""
@@ -292,19 +292,21 @@
             if each.zone in zones and not self.is_in_mesh(each)
         ]
         if others:
-            self.pace.spend(self.tell(others), self.loop.time())
+            self.pace.spend(self.send_beacons(others), self.loop.time())
 
     def tell_mesh(self) -> None:
         self.told_mesh_at = self.loop.time()
         self.due_zones.discard(self.settings.zone)
         mesh = [each for each in self.hosts.values() if self.is_in_mesh(each)]
-        self.pace.spend(self.tell(mesh), self.told_mesh_at)
+        self.pace.spend(self.send_beacons(mesh), self.told_mesh_at)
 
     def tell_others(self) -> None:
         self.told_others_at = self.loop.time()
-        self.tell([each for each in self.hosts.values() if not self.is_in_mesh(each)])
+        self.send_beacons(
+            [each for each in self.hosts.values() if not self.is_in_mesh(each)]
+        )
 
-    def tell(self, peers: list[PeerGateway]) -> int:
+    def send_beacons(self, peers: list[PeerGateway]) -> int:
         """Send a beacon to those that are heard; return to how many.
 
         The others are asked now and then, as they may be back.
@@ -347,7 +349,7 @@
         try:
             beacon = decode(Beacon, data)
         except ProtocolError as error:
-            tell(logger, DatagramNotUnderstood(addr[0], str(error)))
+            log_event(logger, DatagramNotUnderstood(addr[0], str(error)))
             return
         host = beacon.host or addr[0]
         if host == self.settings.host:
@@ -365,7 +367,7 @@
             # Datagrams overtake each other; an older one would bring old loads back.
             return
         if not self.is_heard(peer, LOAD_SECONDS):
-            tell(logger, GatewayHeard(beacon.instance, peer.host))
+            log_event(logger, GatewayHeard(beacon.instance, peer.host))
         self.note_zone(peer, beacon.zone or "")
         peer.heard_at = self.loop.time()
         peer.incarnation = beacon.incarnation
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/program.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/program.py
@@ -4,7 +4,7 @@
 import secrets
 import sys
 
-from fescuedrum.events.event import tell
+from fescuedrum.events.event import log_event
 from fescuedrum.events.processes import SettingsNotReloaded
 from fescuedrum.logs import configure_bounded_logging
 from fescuedrum.process import (
@@ -56,5 +56,5 @@
     if loaded.is_ok():
         return loaded.ok_value
     findings = [str(finding) for finding in loaded.err_value]
-    tell(logger, SettingsNotReloaded(findings))
+    log_event(logger, SettingsNotReloaded(findings))
     return None
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/attempts.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/attempts.py
@@ -6,7 +6,7 @@
 
 from fescuedrum.decisions.placement import Chosen, RefusalCause, Refused
 from fescuedrum.decisions.presence import ListedEndpoint
-from fescuedrum.events.event import tell
+from fescuedrum.events.event import log_event
 from fescuedrum.events.requests import RequestSent, SendingFailed
 from fescuedrum.exceptions import (
     DeadlinePassed,
@@ -102,7 +102,7 @@
             running_there=load.requests,
             version=self.gateway.configuration.version,
         )
-        tell(logger, event)
+        log_event(logger, event)
 
     def check_stop(self):
         """Refuse to begin what the end of this process might cut.
@@ -195,7 +195,7 @@
 
     def log_end(self, endpoint, result, reason):
         request_id = self.call.head.request_id
-        tell(logger, SendingFailed(request_id, endpoint.name, result, reason))
+        log_event(logger, SendingFailed(request_id, endpoint.name, result, reason))
 
     def may_send_again(self):
         """Tell whether the route, the time and the service's budget allow another.
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/handler.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/handler.py
@@ -6,13 +6,13 @@
 from aiohttp import web
 
 from fescuedrum.decisions.returns import return_after
-from fescuedrum.events.event import tell
+from fescuedrum.events.event import log_event
 from fescuedrum.events.requests import (
     ANSWERED,
     CUT,
     CallerLeft,
-    RequestBroke,
     RequestEnded,
+    RequestHandlerFailed,
     RequestRefused,
 )
 from fescuedrum.exceptions import BadRequest, FescuedrumError, Overloaded
@@ -63,7 +63,7 @@
         if plan is not None and plan.is_over(self.loop.time()):
             seconds = round(self.loop.time() - arrived, 4)
             request_id = http_request.get(REQUEST_ID, "")
-            tell(logger, RequestEnded(request_id, CUT, ENDED_BY_STOP, seconds))
+            log_event(logger, RequestEnded(request_id, CUT, ENDED_BY_STOP, seconds))
             self.gateway.metrics.ended("", CUT, seconds)
         else:
             self.caller_left(http_request, arrived)
@@ -80,7 +80,7 @@
             last_event=last_event,
             silent_seconds=silent,
         )
-        tell(logger, event)
+        log_event(logger, event)
         self.gateway.metrics.ended("", LEFT, event.seconds)
 
     async def answer(self, http_request, arrived):
@@ -102,7 +102,7 @@
         except ConnectionError:
             raise
         except Exception as error:
-            tell(logger, RequestBroke(request_id), error=error)
+            log_event(logger, RequestHandlerFailed(request_id), error=error)
             return self.refuse(FescuedrumError(), request_id, arrived)
 
     async def serve(self, http_request, call):
@@ -132,7 +132,7 @@
         """Count and log the end of a request that was sent."""
         seconds = round(self.loop.time() - call.arrived, 4)
         self.gateway.metrics.ended(call.service, result, seconds)
-        tell(logger, RequestEnded(call.head.request_id, result, detail, seconds))
+        log_event(logger, RequestEnded(call.head.request_id, result, detail, seconds))
 
     def say_when_to_return(self, error, patience):
         """Set the time after which a refused caller should come back."""
@@ -149,7 +149,7 @@
             retry_after=error.retry_after,
             seconds=round(self.loop.time() - arrived, 4),
         )
-        tell(logger, event)
+        log_event(logger, event)
         self.gateway.metrics.refused(error.code)
         self.gateway.metrics.ended("", REFUSED, event.seconds)
         headers = self.gateway.adapter.refusal_headers(request_id, error.retry_after)
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/stream.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/stream.py
@@ -7,7 +7,7 @@
 from aiohttp import web
 
 from fescuedrum.events import requests as events
-from fescuedrum.events.event import tell
+from fescuedrum.events.event import log_event
 from fescuedrum.exceptions import AnswerOverdue
 from fescuedrum_gateway.request import plain
 from fescuedrum_gateway.request.attempts import Attempts
@@ -123,7 +123,7 @@
 
     def broken(self, reason):
         request_id = self.call.head.request_id
-        tell(logger, events.StreamBroken(request_id, reason, self.last_id))
+        log_event(logger, events.StreamBroken(request_id, reason, self.last_id))
         return Lost(reason) if self.response is None else StreamBroken(reason)
 
     def caller_left(self):
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/version/configuration.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/version/configuration.py
@@ -2,7 +2,7 @@
 
 import logging
 
-from fescuedrum.events.event import tell
+from fescuedrum.events.event import log_event
 from fescuedrum.events.tables import ConfigurationInForce
 
 logger = logging.getLogger(__name__)
@@ -33,5 +33,5 @@
         )
         self.table = table
         self.read_at = now
-        tell(logger, event)
+        log_event(logger, event)
         return True
--- a/packages/fescuedrum/src/fescuedrum/claims/frames.py
+++ b/packages/fescuedrum/src/fescuedrum/claims/frames.py
@@ -1,7 +1,7 @@
 """Drop frames that a connection delivers a second time."""
 
 
-class RequestNumbers:
+class DuplicateFilter:
     """Accept each request number of a connection once; an entry only counts up.
 
     A refusal is final only if no copy of the refused frame can come after it. The
--- a/packages/fescuedrum/src/fescuedrum/claims/keyed.py
+++ b/packages/fescuedrum/src/fescuedrum/claims/keyed.py
@@ -7,7 +7,7 @@
 its ledger never to start it. Everything else is unknown.
 """
 
-from fescuedrum.claims.ledger import Admission, Verdict
+from fescuedrum.claims.ledger import Admission, FenceResult
 from fescuedrum.claims.record import Claim, ClaimState
 from fescuedrum.claims.steps import (
     Answered,
@@ -201,15 +201,15 @@
 
     def judge(self, verdict):
         match verdict:
-            case Verdict.FENCED if self.claim.state is ClaimState.FINISHED:
+            case FenceResult.FENCED if self.claim.state is ClaimState.FINISHED:
                 # The agent forgets a recorded key in time; that is no leave to run it.
                 return self.unknown("It ran; its answer is no longer kept.")
-            case Verdict.FENCED:
+            case FenceResult.FENCED:
                 self.never_runs = self.claim.attempt
                 return ChooseAgent()
-            case Verdict.RUNNING | Verdict.RAN:
+            case FenceResult.RUNNING | FenceResult.RAN:
                 return self.follow()
-            case Verdict.OTHER_INCARNATION:
+            case FenceResult.OTHER_INCARNATION:
                 # The agent's memory went with its earlier life, which may have run it.
                 if self.claim.state is ClaimState.FINISHED:
                     return self.unknown("It ran; its answer is no longer kept.")
--- a/packages/fescuedrum/src/fescuedrum/claims/ledger.py
+++ b/packages/fescuedrum/src/fescuedrum/claims/ledger.py
@@ -37,7 +37,7 @@
     FULL = "ledger-full"
 
 
-class Verdict(enum.StrEnum):
+class FenceResult(enum.StrEnum):
     """Answer an entry that asks what became of attempts up to a number."""
 
     # None of them was seen here, and none can start here from now on.
@@ -139,20 +139,20 @@
     def fence(self, key, attempt, incarnation, now):
         """Promise that no attempt up to this one starts, or say that one has."""
         if incarnation != self.incarnation:
-            return Verdict.OTHER_INCARNATION
+            return FenceResult.OTHER_INCARNATION
         record = self.records.get(key)
         if record is None:
             if self.full:
-                return Verdict.FULL
+                return FenceResult.FULL
             record = self.add(key)
         match record.state:
             case RecordState.RUNNING:
-                return Verdict.RUNNING
+                return FenceResult.RUNNING
             case RecordState.RAN:
-                return Verdict.RAN
+                return FenceResult.RAN
         record.fenced = max(record.fenced, attempt)
         self.touch(record, now)
-        return Verdict.FENCED
+        return FenceResult.FENCED
 
     def finish(self, key, outcome, size, now):
         """Note the end of a running attempt."""
@@ -168,7 +168,7 @@
             self.size += size
         self.touch(record, now)
 
-    def note_recorded(self, key, now, *, keep_answer=False):
+    def mark_recorded(self, key, now, *, keep_answer=False):
         """Note that the key's row knows the end; free the bytes if it has those too."""
         record = self.records.get(key)
         if record is None or record.state is not RecordState.RAN or record.recorded:
@@ -178,7 +178,7 @@
             self.release(record)
         self.touch(record, now)
 
-    def has_untaken(self, since):
+    def has_unacknowledged(self, since):
         """Tell whether a key ran to its end since then and no entry says to have it."""
         for record in reversed(self.records.values()):
             if record.changed_at < since:
--- a/packages/fescuedrum/src/fescuedrum/claims/steps.py
+++ b/packages/fescuedrum/src/fescuedrum/claims/steps.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from fescuedrum.claims.ledger import Verdict
+from fescuedrum.claims.ledger import FenceResult
 from fescuedrum.claims.record import Claim, RecordedAnswer
 from fescuedrum.outcomes import Outcome
 
@@ -130,7 +130,7 @@
 class Answered:
     """Give the agent's verdict on the attempts asked about."""
 
-    verdict: Verdict
+    verdict: FenceResult
 
 
 @dataclass(slots=True, frozen=True)
--- a/packages/fescuedrum/src/fescuedrum/events/event.py
+++ b/packages/fescuedrum/src/fescuedrum/events/event.py
@@ -39,7 +39,7 @@
         return {name: value for name, value in values.items() if value is not None}
 
 
-def tell(logger, told, *, error=None):
+def log_event(logger, told, *, error=None):
     """Log an event; error is an exception whose traceback goes with it."""
     if logger.isEnabledFor(told.level):
         extra = {**told.fields(), "routine": told.routine}
--- a/packages/fescuedrum/src/fescuedrum/events/groups.py
+++ b/packages/fescuedrum/src/fescuedrum/events/groups.py
@@ -9,7 +9,7 @@
 
 
 @event
-class GroupDuty(Event):
+class GroupDutyChanged(Event):
     """Tell that this gateway begins or ceases to keep the groups' maps."""
 
     message = "group duty"
--- a/packages/fescuedrum/src/fescuedrum/events/requests.py
+++ b/packages/fescuedrum/src/fescuedrum/events/requests.py
@@ -118,7 +118,7 @@
 
 
 @event
-class RequestBroke(Event):
+class RequestHandlerFailed(Event):
     """Tell that a fault of the process's own code met a request.
 
     Its traceback follows.
@@ -182,7 +182,7 @@
 
 
 @event
-class FairnessFound(Event):
+class FairnessFindingReported(Event):
     """Tell that an organisation is served worse than its peers beyond chance."""
 
     message = "fairness finding"
@@ -192,7 +192,7 @@
 
 
 @event
-class FairnessCleared(Event):
+class FairnessFindingCleared(Event):
     """Tell that an organisation is served like its peers again."""
 
     message = "fairness finding cleared"
--- a/packages/fescuedrum/src/fescuedrum/groups/switching.py
+++ b/packages/fescuedrum/src/fescuedrum/groups/switching.py
@@ -18,7 +18,7 @@
 import math
 from dataclasses import dataclass
 
-from fescuedrum.events.event import tell
+from fescuedrum.events.event import log_event
 from fescuedrum.events.groups import HeldGroupSettled, MapChangeAbandoned
 from fescuedrum.groups.engines import (
     ArmMap,
@@ -211,7 +211,7 @@
             refused=results.count(OrderResult.REFUSED),
             unanswered=results.count(OrderResult.UNANSWERED),
         )
-        tell(logger, event)
+        log_event(logger, event)
         waiting = sorted(self.addresses)
         while True:
             done = await asyncio.gather(*(self.disarm(rank) for rank in waiting))
@@ -277,7 +277,7 @@
     map in force.
     """
     first = reports[HOLDING_RANK]
-    tell(logger, HeldGroupSettled(first.held_step))
+    log_event(logger, HeldGroupSettled(first.held_step))
     switch = LeftSwitch(engines, addresses, reports, held)
     if all(report.armed_version is not None for report in reports.values()):
         return await switch.release(SwitchResult.SWITCHED)
--- a/packages/fescuedrum/src/fescuedrum/metrics.py
+++ b/packages/fescuedrum/src/fescuedrum/metrics.py
@@ -17,7 +17,7 @@
 )
 
 from fescuedrum import __version__
-from fescuedrum.events.event import tell
+from fescuedrum.events.event import log_event
 from fescuedrum.events.processes import ProcessStalled
 
 logger = logging.getLogger(__name__)
@@ -113,7 +113,7 @@
         late = max(0.0, loop.time() - due)
         histogram.observe(late)
         if late >= STALLED_SECONDS:
-            tell(logger, ProcessStalled(round(late, 3)))
+            log_event(logger, ProcessStalled(round(late, 3)))
 
 
 def describe_page(title, introduction, catalogues):
--- a/packages/fescuedrum/src/fescuedrum/platform/client.py
+++ b/packages/fescuedrum/src/fescuedrum/platform/client.py
@@ -4,7 +4,7 @@
 import logging
 
 from fescuedrum.conf import schema
-from fescuedrum.events.event import tell
+from fescuedrum.events.event import log_event
 from fescuedrum.events.tables import InstanceNotUnderstood
 from fescuedrum.exceptions import HistoryLost, StoreUnavailable
 from fescuedrum.platform.caller import DEFAULT_TIMEOUT_SECONDS, PlatformCaller, decode
@@ -16,7 +16,7 @@
 GONE = 410
 NOT_FOUND = 404
 # A call that waits for changes is answered within its wait and this.
-FEED_SLACK_SECONDS = 1.5
+CHANGES_TIMEOUT_MARGIN_SECONDS = 1.5
 
 
 def load_instances(lines):
@@ -31,7 +31,7 @@
             instances.append(loaded.ok_value)
         else:
             faults = [str(finding) for finding in loaded.err_value[:3]]
-            tell(logger, InstanceNotUnderstood(faults))
+            log_event(logger, InstanceNotUnderstood(faults))
     return instances
 
 
@@ -93,7 +93,7 @@
             f"/tables/{table}/changes",
             params={"after": str(after), "wait_seconds": str(wait_seconds)},
             accept=(GONE,),
-            timeout=wait_seconds + FEED_SLACK_SECONDS,
+            timeout=wait_seconds + CHANGES_TIMEOUT_MARGIN_SECONDS,
         )
         if status == GONE:
             raise HistoryLost(f"Changes of {table} after {after} are forgotten.")
--- a/packages/fescuedrum/src/fescuedrum/platform/leases.py
+++ b/packages/fescuedrum/src/fescuedrum/platform/leases.py
@@ -4,7 +4,7 @@
 import logging
 
 from fescuedrum.decisions.leases import LeaseTerm, Renew, Take, Wait
-from fescuedrum.events.event import tell
+from fescuedrum.events.event import log_event
 from fescuedrum.events.tables import LeaseNotRenewed
 from fescuedrum.exceptions import StoreUnavailable
 from fescuedrum.platform.interfaces import Write
@@ -46,7 +46,7 @@
             try:
                 await self.step()
             except StoreUnavailable as error:
-                tell(logger, LeaseNotRenewed(self.key, str(error)))
+                log_event(logger, LeaseNotRenewed(self.key, str(error)))
             # Jitter keeps the challengers of one lease from asking in step.
             await asyncio.sleep(
                 self.term.renewal_interval * self.random.uniform(0.8, 1)
--- a/packages/fescuedrum/src/fescuedrum/process.py
+++ b/packages/fescuedrum/src/fescuedrum/process.py
@@ -12,7 +12,7 @@
 
 from fescuedrum import checks
 from fescuedrum.conf import schema
-from fescuedrum.events.event import tell
+from fescuedrum.events.event import log_event
 from fescuedrum.events.processes import SettingsWarning, TaskFailed
 from fescuedrum.logs import configure_bounded_logging
 from fescuedrum.signals import held_reload
@@ -69,7 +69,7 @@
         zone=settings.zone,
     )
     for finding in settings.check():
-        tell(logger, SettingsWarning(str(finding)))
+        log_event(logger, SettingsWarning(str(finding)))
     asyncio.run(build(settings, secrets.randbits(INCARNATION_BITS)).run())
     return EXIT_OK
 
@@ -114,7 +114,7 @@
 
     def ended(task):
         if not task.cancelled() and task.exception() is not None:
-            tell(logger, TaskFailed(), error=task.exception())
+            log_event(logger, TaskFailed(), error=task.exception())
             stop.set()
 
     for task in tasks:
--- a/packages/fescuedrum/src/fescuedrum/serving.py
+++ b/packages/fescuedrum/src/fescuedrum/serving.py
@@ -7,7 +7,7 @@
 from aiohttp import web
 from aiohttp.web_protocol import RequestHandler
 
-from fescuedrum.events.event import tell
+from fescuedrum.events.event import log_event
 from fescuedrum.events.requests import AnswerNotDelivered, TakenWhileStopping
 
 logger = logging.getLogger(__name__)
@@ -94,7 +94,7 @@
         try:
             return await super().finish_response(request, resp, start_time)
         except asyncio.CancelledError:
-            tell(logger, AnswerNotDelivered(request.get(REQUEST_ID, "")))
+            log_event(logger, AnswerNotDelivered(request.get(REQUEST_ID, "")))
             raise
         finally:
             self.answered += 1
@@ -177,7 +177,7 @@
         may_last=round(deadline - now, 4),
         kept=connection.answered > 0,
     )
-    tell(logger, event)
+    log_event(logger, event)
 
 
 async def let_run(plan, server, count_running):
--- a/packages/fescuedrum/src/fescuedrum/tls.py
+++ b/packages/fescuedrum/src/fescuedrum/tls.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from fescuedrum.conf.schema import setting
-from fescuedrum.events.event import tell
+from fescuedrum.events.event import log_event
 from fescuedrum.events.processes import CertificateNotReloaded, CertificateReloaded
 
 logger = logging.getLogger(__name__)
@@ -99,10 +99,10 @@
                 load(ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER), each.files)
                 load(each.context, each.files)
             except OSError as error:
-                tell(logger, CertificateNotReloaded(str(error)))
+                log_event(logger, CertificateNotReloaded(str(error)))
                 continue
             each.times = times
-            tell(logger, CertificateReloaded(each.files.certificate))
+            log_event(logger, CertificateReloaded(each.files.certificate))
 
 
 def load(context, files):
--- a/packages/fescuedrum/src/fescuedrum/versions/apply.py
+++ b/packages/fescuedrum/src/fescuedrum/versions/apply.py
@@ -8,7 +8,7 @@
 from fescuedrum.conf import document as documents, schema
 from fescuedrum.conf.diff import diff
 from fescuedrum.conf.safety import check_change
-from fescuedrum.events.event import tell
+from fescuedrum.events.event import log_event
 from fescuedrum.events.tables import ChangeAccepted
 from fescuedrum.exceptions import (
     ChangeInvalid,
@@ -49,7 +49,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Accepted:
+class AcceptedChange:
     """Say that a change is known to be accepted."""
 
     version: int
@@ -57,7 +57,7 @@
     body: bytes
 
 
-class Applier:
+class ChangeApplier:
     """Accept changes through the platform's table and object store."""
 
     __slots__ = ("loop", "platform")
@@ -67,7 +67,7 @@
         self.loop = asyncio.get_running_loop()
 
     async def apply(self, proposal, served=None):
-        """Return Accepted, or raise why not.
+        """Return an AcceptedChange, or raise why not.
 
         ChangeInvalid and ChangeRaced say that nothing was accepted, StoreUnavailable
         that nothing was tried, ChangeUnsettled that it may yet turn out accepted.
@@ -87,15 +87,15 @@
             Write(audit_key(record.version), schema.dump(record), 0),
         ]
         await self.commit(writes, record, proposal)
-        tell(logger, ChangeAccepted(record.version, record.change, record.who))
-        return Accepted(record.version, record.after, body)
+        log_event(logger, ChangeAccepted(record.version, record.change, record.who))
+        return AcceptedChange(record.version, record.after, body)
 
     async def find_earlier(self, proposal, head, body):
         """Find that the change was accepted before, or show both sides of the race."""
         version = proposal.base_version + 1
         record = load_record(await self.platform.get(audit_key(version)))
         if record is not None and record.change == proposal.change:
-            return Accepted(version, record.after, body)
+            return AcceptedChange(version, record.after, body)
         raise await self.describe_race(proposal, head)
 
     async def commit(self, writes, record, proposal):
--- a/packages/fescuedrum/src/fescuedrum/versions/audit.py
+++ b/packages/fescuedrum/src/fescuedrum/versions/audit.py
@@ -11,7 +11,7 @@
 HINT = "Compare with the platform's own backups and find who changed the table."
 
 
-async def read_trail(table, newest, count):
+async def read_audit_records(table, newest, count):
     """Return up to count audit records, newest first; raise StoreUnavailable."""
     records = []
     version = newest
@@ -42,7 +42,7 @@
     return load_head(row), row.version
 
 
-def verify(records, head, *, whole):
+def verify_records(records, head, *, whole):
     """List every gap and every changed row among records, newest first.
 
     whole says that the records should reach back to version 1.
--- a/packages/fescuedrum/src/fescuedrum/versions/configuration.py
+++ b/packages/fescuedrum/src/fescuedrum/versions/configuration.py
@@ -4,7 +4,7 @@
 import zlib
 
 from fescuedrum.conf import document as documents
-from fescuedrum.events.event import tell
+from fescuedrum.events.event import log_event
 from fescuedrum.events.tables import (
     DocumentDropped,
     DocumentNotUnderstood,
@@ -21,7 +21,7 @@
     """Keep the newest document seen.
 
     Reads of the head can be stale, peers can lag and frames can come late or twice;
-    every one of them ends in offer(), which lets the version only rise.
+    every one of them ends in update_if_newer(), which lets the version only rise.
     """
 
     __slots__ = (
@@ -59,30 +59,30 @@
         """Call listener() after each new version is in force."""
         self.listeners.append(listener)
 
-    def offer(self, version, document_hash, body):
+    def update_if_newer(self, version, document_hash, body):
         """Take a document if it is newer, whole and understood; tell whether."""
         if version <= self.version:
             return False
         if documents.document_hash(body) != document_hash:
-            tell(logger, DocumentDropped(version))
+            log_event(logger, DocumentDropped(version))
             return False
         decoded = documents.decode(body)
         if decoded.is_err():
             self.refused_hash = document_hash
             faults = [str(finding) for finding in decoded.err_value[:5]]
-            tell(logger, DocumentNotUnderstood(version, faults))
+            log_event(logger, DocumentNotUnderstood(version, faults))
             return False
         self.version = version
         self.document_hash = document_hash
         self.body = body
         self.compressed = b""
-        self.take(decoded.ok_value)
-        tell(logger, VersionInForce(version))
+        self.activate(decoded.ok_value)
+        log_event(logger, VersionInForce(version))
         for listener in self.listeners:
             listener()
         return True
 
-    def take(self, document):
+    def activate(self, document):
         self.document = document
         self.classes = {each.name: each for each in document.classes}
         self.endpoints = {each.name: each for each in document.endpoints}
@@ -97,17 +97,17 @@
             if zone.state is documents.ZoneState.OUT
         )
 
-    def zone_is_out(self, name):
+    def is_zone_out(self, name):
         """Tell whether operators have taken a zone out."""
         return name in self.zones_out
 
-    def offer_frame(self, frame):
+    def update_from_frame(self, frame):
         """Take the document that a peer sent."""
         body = frame.body
         if frame.compressed:
             # The bound keeps a faulty peer from filling the memory.
             body = zlib.decompressobj().decompress(body, MAXIMUM_DOCUMENT_BYTES)
-        return self.offer(frame.version, frame.document_hash, body)
+        return self.update_if_newer(frame.version, frame.document_hash, body)
 
     def answer(self, pull):
         """Return the frame that answers a peer's pull; None when it is not held."""
--- a/packages/fescuedrum/src/fescuedrum/versions/pulling.py
+++ b/packages/fescuedrum/src/fescuedrum/versions/pulling.py
@@ -1,9 +1,9 @@
 """Decide from whom to pull a newer version."""
 
-PATIENCE_SECONDS = 1.0
+PULL_TIMEOUT_SECONDS = 1.0
 
 
-class Pulls:
+class PullThrottle:
     """Ask one peer for each new version, and another when that one stays silent.
 
     Many peers announce one version within milliseconds; without this each would be
@@ -16,11 +16,11 @@
         self.asked_version = 0
         self.asked_at = 0.0
 
-    def should_ask(self, announced, in_force, now):
+    def should_pull(self, announced, in_force, now):
         """Tell whether to pull a version that a peer announced, and remember it."""
         if announced <= in_force:
             return False
-        waiting = now - self.asked_at < PATIENCE_SECONDS
+        waiting = now - self.asked_at < PULL_TIMEOUT_SECONDS
         if announced <= self.asked_version and waiting:
             return False
         self.asked_version = announced
--- a/tests/integration/test_process_ends.py
+++ b/tests/integration/test_process_ends.py
@@ -20,7 +20,7 @@
 )
 from support.peers import Authority, build_entry_side
 
-from fescuedrum.claims.ledger import Verdict
+from fescuedrum.claims.ledger import FenceResult
 from fescuedrum.exceptions import ProcessStopping
 from fescuedrum.outcomes import Outcome
 from fescuedrum.tls import Certificates
@@ -535,7 +535,7 @@
         running.tell()
         reply = await read_body(connection, frames.FenceReply)
         assert reply is not None
-        assert reply.verdict == Verdict.FENCED
+        assert reply.verdict == FenceResult.FENCED
         connection.close()
         await running.end()
 
--- a/tests/support/callers.py
+++ b/tests/support/callers.py
@@ -49,7 +49,7 @@
         documents.Service("advice", documents.ServiceKind.ENGINE, ["m"]),
         documents.Service("bookings", documents.ServiceKind.PLAIN, []),
     ]
-    entry.configuration.take(build_document(services=services))
+    entry.configuration.activate(build_document(services=services))
     return entry
 
 
--- a/tests/support/claims_model.py
+++ b/tests/support/claims_model.py
@@ -6,7 +6,7 @@
 
 import pickle
 
-from fescuedrum.claims.frames import RequestNumbers
+from fescuedrum.claims.frames import DuplicateFilter
 from fescuedrum.claims.keyed import KeyedRequest
 from fescuedrum.claims.ledger import Admission, Ledger, RecordState
 from fescuedrum.claims.record import RecordedAnswer
@@ -185,7 +185,7 @@
                 self.check_answer(entry, claim.answer.body)
                 if self.version == version:
                     self.row, self.version = claim, version + 1
-                    self.agent(claim).ledger.note_recorded(KEY, 0)
+                    self.agent(claim).ledger.mark_recorded(KEY, 0)
         self.check()
 
     def check_answer(self, entry, body):
@@ -309,7 +309,7 @@
         if not again:
             self.frames.pop(index)
         agent = self.agent(claim)
-        numbers = agent.numbers.setdefault((sender, connection), RequestNumbers())
+        numbers = agent.numbers.setdefault((sender, connection), DuplicateFilter())
         if not numbers.accept(number):
             return
         admission = agent.ledger.check(KEY, claim.attempt, claim.incarnation)
--- a/tests/support/ends.py
+++ b/tests/support/ends.py
@@ -180,7 +180,7 @@
 
     def build():
         agent = agents.Agent(AgentSettings(**values | settings), incarnation=1)
-        agent.configuration.take(build_document())
+        agent.configuration.activate(build_document())
         agent.gate.close(zone_out=False)
         return agent
 
--- a/tests/unit/test_claims_model.py
+++ b/tests/unit/test_claims_model.py
@@ -11,9 +11,9 @@
 from support.claims_model import BrokenPromiseError, World, explore, wander
 
 from fescuedrum.claims import ledger as ledgers
-from fescuedrum.claims.frames import RequestNumbers
+from fescuedrum.claims.frames import DuplicateFilter
 from fescuedrum.claims.keyed import KeyedRequest
-from fescuedrum.claims.ledger import Admission, Ledger, RecordState, Verdict
+from fescuedrum.claims.ledger import Admission, FenceResult, Ledger, RecordState
 from fescuedrum.claims.record import ClaimState
 from fescuedrum.claims.steps import Dispatch, NotSent, Tell, WriteRow
 from fescuedrum.outcomes import Outcome
@@ -49,7 +49,7 @@
 
 def promise_without_a_mark(self, key, attempt, incarnation, now):
     verdict = fence(self, key, attempt, incarnation, now)
-    if verdict is Verdict.FENCED:
+    if verdict is FenceResult.FENCED:
         self.records[key].fenced = 0
     return verdict
 
@@ -57,7 +57,7 @@
 def fence_a_running_attempt(self, key, attempt, incarnation, now):
     record = self.records.get(key)
     if record and record.state is RecordState.RUNNING:
-        return Verdict.FENCED
+        return FenceResult.FENCED
     return fence(self, key, attempt, incarnation, now)
 
 
@@ -67,8 +67,8 @@
 
 
 def trust_a_new_life(self, verdict):
-    if verdict is Verdict.OTHER_INCARNATION:
-        verdict = Verdict.FENCED
+    if verdict is FenceResult.OTHER_INCARNATION:
+        verdict = FenceResult.FENCED
     return judge(self, verdict)
 
 
@@ -153,7 +153,7 @@
     (KeyedRequest, "end", forget_the_end),
     (KeyedRequest, "may_send", release_a_sent_attempt),
     (KeyedRequest, "use", send_an_unconfirmed_claim),
-    (RequestNumbers, "accept", lambda self, number: True),
+    (DuplicateFilter, "accept", lambda self, number: True),
     (World, "send", send_over_any_connection),
 ]
 
@@ -184,8 +184,8 @@
         ledger.start(key, 1, "token", now=0)
     ledger.sweep(now=ledgers.RETENTION_SECONDS * 10)
     assert ledger.check("c", 1, 1) is Admission.FULL
-    assert ledger.fence("c", 1, 1, now=0) is Verdict.FULL
-    assert ledger.fence("a", 1, 1, now=0) is Verdict.RUNNING
+    assert ledger.fence("c", 1, 1, now=0) is FenceResult.FULL
+    assert ledger.fence("a", 1, 1, now=0) is FenceResult.RUNNING
 
 
 def test_an_answer_nobody_has_recorded_is_kept_and_its_bytes_hold_back_new_keys():
@@ -194,9 +194,9 @@
     ledger.finish("a", Outcome.ANSWERED, size=100, now=0)
     ledger.sweep(now=ledgers.MARK_SECONDS)
     assert ledger.check("b", 1, 1) is Admission.FULL
-    ledger.note_recorded("a", now=ledgers.MARK_SECONDS)
+    ledger.mark_recorded("a", now=ledgers.MARK_SECONDS)
     assert ledger.check("b", 1, 1) is Admission.START
-    assert ledger.fence("a", 1, 1, now=0) is Verdict.RAN
+    assert ledger.fence("a", 1, 1, now=0) is FenceResult.RAN
     ledger.sweep(now=ledgers.MARK_SECONDS * 2)
     assert not ledger.records
 
@@ -208,8 +208,8 @@
     ledger.finish("old", Outcome.ANSWERED, size=1, now=1)
     ledger.finish("a", Outcome.ANSWERED, size=1, now=10)
     ledger.finish("unrun", Outcome.NOT_RUN, size=0, now=11)
-    assert ledger.has_untaken(since=9)
-    assert not ledger.has_untaken(since=10.5)
-    ledger.note_recorded("a", now=12)
-    assert not ledger.has_untaken(since=9)
-    assert ledger.has_untaken(since=0)
+    assert ledger.has_unacknowledged(since=9)
+    assert not ledger.has_unacknowledged(since=10.5)
+    ledger.mark_recorded("a", now=12)
+    assert not ledger.has_unacknowledged(since=9)
+    assert ledger.has_unacknowledged(since=0)
--- a/tests/unit/test_document_in_force.py
+++ b/tests/unit/test_document_in_force.py
@@ -21,7 +21,7 @@
     for name, value in organisation.items():
         setattr(club, name, value)
     classes = [documents.WorkClass("urgent", 8), documents.WorkClass("overnight", 1)]
-    entry.configuration.take(
+    entry.configuration.activate(
         build_document(services=[service], organisations=[club], classes=classes)
     )
     return entry
--- a/tests/unit/test_events.py
+++ b/tests/unit/test_events.py
@@ -9,7 +9,7 @@
 
 import fescuedrum
 from fescuedrum.events import reference
-from fescuedrum.events.event import tell
+from fescuedrum.events.event import log_event
 from fescuedrum.events.requests import RequestEnded, RequestRefused
 from fescuedrum.logs import STANDARD_ATTRIBUTES, JsonLinesFormatter
 
@@ -38,7 +38,7 @@
     handler = logging.Handler()
     handler.emit = records.append
     logger.addHandler(handler)
-    tell(logger, event)
+    log_event(logger, event)
     return json.loads(JsonLinesFormatter({"instance": "gateway-1"}).format(records[0]))
 
 
--- a/tests/unit/test_versions.py
+++ b/tests/unit/test_versions.py
@@ -10,10 +10,10 @@
 
 from fescuedrum.conf import document as documents
 from fescuedrum.exceptions import ChangeInvalid, ChangeRaced, ChangeUnsettled
-from fescuedrum.versions.apply import Applier, Proposal
-from fescuedrum.versions.audit import read_head, read_trail, verify
+from fescuedrum.versions.apply import ChangeApplier, Proposal
+from fescuedrum.versions.audit import read_audit_records, read_head, verify_records
 from fescuedrum.versions.configuration import Configuration
-from fescuedrum.versions.pulling import PATIENCE_SECONDS, Pulls
+from fescuedrum.versions.pulling import PULL_TIMEOUT_SECONDS, PullThrottle
 from fescuedrum.versions.records import audit_key
 from fescuedrum.wire.gen.members.ttypes import Pull
 
@@ -40,38 +40,38 @@
     for number in numbers:
         version, digest, body = build_version(number)
         if data.draw(st.booleans()):
-            source.offer(version, digest, body)
-            receiver.offer_frame(source.answer(Pull(source.document_hash)))
+            source.update_if_newer(version, digest, body)
+            receiver.update_from_frame(source.answer(Pull(source.document_hash)))
         else:
-            receiver.offer(version, digest, body)
+            receiver.update_if_newer(version, digest, body)
     assert in_force == sorted(set(in_force))
     assert receiver.version == max(numbers, default=0)
 
 
 def test_a_document_that_is_damaged_or_not_understood_changes_nothing():
     configuration = Configuration()
-    configuration.offer(*build_version(2))
+    configuration.update_if_newer(*build_version(2))
     version, digest, body = build_version(3)
-    assert not configuration.offer(version, digest, body + b" ")
+    assert not configuration.update_if_newer(version, digest, body + b" ")
     odd = b'{"colour": 1}'
-    assert not configuration.offer(4, documents.document_hash(odd), odd)
+    assert not configuration.update_if_newer(4, documents.document_hash(odd), odd)
     assert configuration.version == 2
-    assert configuration.offer(version, digest, body)
+    assert configuration.update_if_newer(version, digest, body)
 
 
 def test_one_peer_is_asked_for_a_version_and_another_when_it_stays_silent():
-    pulls = Pulls()
-    assert pulls.should_ask(3, 2, 10.0)
-    assert not pulls.should_ask(3, 2, 10.1)
-    assert pulls.should_ask(4, 2, 10.1)
-    assert pulls.should_ask(4, 2, 10.1 + PATIENCE_SECONDS)
-    assert not pulls.should_ask(2, 2, 20.0)
+    pulls = PullThrottle()
+    assert pulls.should_pull(3, 2, 10.0)
+    assert not pulls.should_pull(3, 2, 10.1)
+    assert pulls.should_pull(4, 2, 10.1)
+    assert pulls.should_pull(4, 2, 10.1 + PULL_TIMEOUT_SECONDS)
+    assert not pulls.should_pull(2, 2, 20.0)
 
 
 def test_a_race_shows_both_sides_and_changes_nothing():
     async def story():
         table = MemoryTable()
-        applier = Applier(table)
+        applier = ChangeApplier(table)
         await applier.apply(build_proposal(0, 1, "first"))
         await applier.apply(build_proposal(1, 2, "theirs"))
         with pytest.raises(ChangeRaced) as caught:
@@ -93,7 +93,7 @@
 
     async def story():
         table = MemoryTable()
-        applier = Applier(table)
+        applier = ChangeApplier(table)
         table.lost_answers = 1
         first = await applier.apply(build_proposal(0, 1, "mine"))
         again = await applier.apply(build_proposal(0, 1, "mine"))
@@ -107,7 +107,7 @@
 def test_a_store_that_stays_down_leaves_the_change_unsettled_not_accepted():
     async def story():
         table = MemoryTable()
-        applier = Applier(table)
+        applier = ChangeApplier(table)
         put_object = table.put_object
 
         async def put_and_fail(name, body):
@@ -126,7 +126,7 @@
 
 def test_a_change_with_faults_or_without_change_is_refused_with_findings():
     async def story():
-        applier = Applier(MemoryTable())
+        applier = ChangeApplier(MemoryTable())
         await applier.apply(build_proposal(0, 1))
         faulty = build_proposal(1, 2)
         faulty.document.zones.append(copy.deepcopy(faulty.document.zones[0]))
@@ -143,18 +143,18 @@
 def test_the_trail_shows_a_missing_and_a_changed_row():
     async def story():
         table = MemoryTable()
-        applier = Applier(table)
+        applier = ChangeApplier(table)
         for number in range(120):
             await applier.apply(build_proposal(number, number + 1, f"c{number}"))
         head, _ = await read_head(table)
-        trail = await read_trail(table, head.version, 1000)
+        trail = await read_audit_records(table, head.version, 1000)
         assert [record.version for record in trail] == list(range(120, 0, -1))
-        assert verify(trail, head, whole=True) == []
+        assert verify_records(trail, head, whole=True) == []
         del table.rows[audit_key(50)]
         value, version = table.rows[audit_key(110)]
         table.rows[audit_key(110)] = (value | {"who": "nobody"}, version)
-        trail = await read_trail(table, head.version, 1000)
-        return verify(trail, head, whole=True)
+        trail = await read_audit_records(table, head.version, 1000)
+        return verify_records(trail, head, whole=True)
 
     findings = run_paused(story())
     assert [(each.id, each.path) for each in findings] == [
