--- a/packages/fescuedrum-agent/src/fescuedrum_agent/process/agent.py
+++ b/packages/fescuedrum-agent/src/fescuedrum_agent/process/agent.py
@@ -8,7 +8,7 @@
 from fescuedrum import __version__
 from fescuedrum.conf.document import ServiceKind
 from fescuedrum.decisions.admission import Admission, RefusalReason, Refused
-from fescuedrum.decisions.limits import EndpointLimit, Pace, Phase
+from fescuedrum.decisions.limits import EndpointLimit, Phase, StartLimiter
 from fescuedrum.decisions.queueing import build_queue
 from fescuedrum.decisions.sharing import effective_weights
 from fescuedrum.events.event import log_event
@@ -286,7 +286,7 @@
         is_engine = service is not None and service.kind is ServiceKind.ENGINE
         if not is_engine or not self.settings.pace_seconds:
             return None
-        return Pace(floor, self.settings.pace_seconds)
+        return StartLimiter(floor, self.settings.pace_seconds)
 
     def submit(self, session, request):
         """Take a request or find its answer: (answer, None) or (None, Refused)."""
--- a/packages/fescuedrum-agent/src/fescuedrum_agent/process/gate.py
+++ b/packages/fescuedrum-agent/src/fescuedrum_agent/process/gate.py
@@ -90,7 +90,7 @@
         self.leaving = self.leaving if leaving is None else leaving
         self.zone_out = self.zone_out if zone_out is None else zone_out
         if reason := self.closed():
-            for work in self.queue.works():
+            for work in self.queue.waiting_requests():
                 self.give_up(work, Refused(reason, ELSEWHERE_SECONDS))
 
     def offer(self, work, now):
@@ -100,12 +100,12 @@
         if self.may_start(now) and not self.queue.length:
             # With nothing running there is nothing to wait for, and the prediction
             # may stem from a cold start; refusing would let it never be corrected.
-            if self.running and (refused := self.judge(work, 0.0, now)):
+            if self.running and (refused := self.check_deadline(work, 0.0, now)):
                 return refused
-            self.queue.charge_direct(work)
+            self.queue.charge_unqueued(work)
             self.start(work, now)
             return None
-        if refused := self.judge(work, self.queue.cost_ahead(work), now):
+        if refused := self.check_deadline(work, self.queue.cost_ahead(work), now):
             return refused
         refused = self.enqueue(work)
         self.admit_waiting(now)
@@ -135,20 +135,22 @@
     def pause(self, now):
         return self.pace.wait(now) if self.pace else 0.0
 
-    def judge(self, work, cost_ahead, now):
+    def check_deadline(self, work, cost_ahead, now):
         if self.admit_all:
             return None
-        return self.admission.judge(work, cost_ahead, self.limit.limit, now)
+        return self.admission.check_deadline(work, cost_ahead, self.limit.limit, now)
 
-    def judge_waiting(self, work, now):
-        return None if self.admit_all else self.admission.judge_waiting(work, now)
+    def check_waiting_deadline(self, work, now):
+        return (
+            None if self.admit_all else self.admission.check_waiting_deadline(work, now)
+        )
 
     def enqueue(self, work):
         self.queue.push(work)
         if self.queue.length <= self.queue_limit:
             return None
         # Refusing the newcomer would let whoever fills the queue shut out all others.
-        victim = self.queue.most_over()
+        victim = self.queue.next_to_shed()
         seconds = self.admission.wait(self.queue.backlog, self.limit.limit)
         refused = self.admission.refuse(RefusalReason.SHED, seconds)
         if victim is work:
@@ -195,7 +197,7 @@
                 self.wake_after(pause)
                 return
             work = self.queue.pop()
-            if refused := self.judge_waiting(work, now):
+            if refused := self.check_waiting_deadline(work, now):
                 # Started now it would end too late and take a place from another.
                 self.queue.correct(work, 0.0)
                 work.payload.refuse(refused)
@@ -211,8 +213,8 @@
 
     def sweep(self, now):
         """Refuse what waits and can't be in time any more, at once."""
-        for work in self.queue.works():
-            if refused := self.judge_waiting(work, now):
+        for work in self.queue.waiting_requests():
+            if refused := self.check_waiting_deadline(work, now):
                 self.give_up(work, refused)
 
     @property
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/capacity/roles.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/capacity/roles.py
@@ -2,8 +2,8 @@
 
 from dataclasses import dataclass
 
-from fescuedrum.decisions.pacing import beat_interval
-from fescuedrum.decisions.topology import REMOTE_LINKS, SPOKESPEOPLE_PER_ZONE
+from fescuedrum.decisions.pacing import send_interval
+from fescuedrum.decisions.topology import DELEGATES_PER_ZONE, REMOTE_LINKS
 
 # Both ends of a link send a heartbeat at this interval; it is the settings' default.
 HEARTBEAT_SECONDS = 0.5
@@ -61,7 +61,7 @@
 def links_of_entry(size):
     """Return how many connections for control one entry has."""
     peers = size.nodes_per_zone - 1
-    abroad = SPOKESPEOPLE_PER_ZONE * (size.zones - 1) / size.nodes_per_zone
+    abroad = DELEGATES_PER_ZONE * (size.zones - 1) / size.nodes_per_zone
     # Each conversation between two zones has an entry at either end.
     return size.engines_per_zone + REMOTE_LINKS + peers + 2 * abroad
 
@@ -84,7 +84,7 @@
 
 
 def heartbeat_costs(role, links, slopes, budget, heartbeat_bytes):
-    interval = beat_interval(HEARTBEAT_SECONDS, links)
+    interval = send_interval(HEARTBEAT_SECONDS, links)
     beats = links / interval
     sent = beats * (heartbeat_bytes + SEGMENT_OVERHEAD_BYTES)
     seconds = slopes["link.heartbeats"].slope
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/routing_cost.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/routing_cost.py
@@ -3,7 +3,7 @@
 import random
 import time
 
-from fescuedrum.decisions.routing import Candidate, View, Wish
+from fescuedrum.decisions.routing import Candidate, EndpointView, RoutingPreference
 from fescuedrum_bench.experiments.base import Experiment, Figure
 
 SIZES = (10, 100, 1100)
@@ -45,14 +45,14 @@
 
 def measure(size, count, seed, choose):
     chooser = random.Random(seed)
-    view = View()
+    view = EndpointView()
     for index in range(size):
         view.add(Candidate(f"e{index}", f"zone-{index % ZONES}", limit=16))
     pending = []
     begin = time.perf_counter()
     for index in range(count):
         prefix = f"prefix-{index % 7}" if index % 2 else ""
-        chosen = choose(view, Wish(zone="zone-1", prefix=prefix), chooser)
+        chosen = choose(view, RoutingPreference(zone="zone-1", prefix=prefix), chooser)
         view.sent(chosen)
         pending.append(chosen)
         if len(pending) > size:
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/operators/changes.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/operators/changes.py
@@ -149,7 +149,7 @@
         """Refuse a change whose calls to the platform may outlast this process."""
         plan = self.entry.stop_plan
         now = asyncio.get_running_loop().time()
-        if plan is not None and not plan.takes(now, now + CHANGE_SECONDS):
+        if plan is not None and not plan.accepts(now, now + CHANGE_SECONDS):
             raise stopping()
 
     async def accept(self, proposal):
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/process/fairness.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/process/fairness.py
@@ -4,7 +4,7 @@
 import logging
 
 from fescuedrum.decisions.comparison import Observation
-from fescuedrum.decisions.fairness import FairnessWatch
+from fescuedrum.decisions.fairness import FairnessMonitor
 from fescuedrum.decisions.queueing import priority_class
 from fescuedrum.events.event import log_event
 from fescuedrum.events.requests import FairnessFindingCleared, FairnessFindingReported
@@ -24,7 +24,7 @@
     def __init__(self, entry, interval):
         self.entry = entry
         self.interval = interval
-        self.watch = FairnessWatch()
+        self.watch = FairnessMonitor()
 
     def configuration_changed(self):
         organisations = self.entry.configuration.organisations.values()
@@ -64,7 +64,7 @@
             interval = self.watch.close_interval()
             before = {(each.organisation, each.id) for each in self.watch.findings()}
             for organisation in interval.organisations:
-                for finding in self.watch.judge(organisation, interval, loop.time()):
+                for finding in self.watch.evaluate(organisation, interval, loop.time()):
                     log_event(logger, FairnessFindingReported(str(finding)))
                 await asyncio.sleep(0)
             self.report_cleared(before)
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/process/members.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/process/members.py
@@ -9,14 +9,14 @@
 from fescuedrum.conf import schema
 from fescuedrum.decisions import topology
 from fescuedrum.decisions.digests import (
-    Digests,
     ServiceSum,
+    ZoneDigests,
     ZoneSum,
     digest_interval,
-    sum_up,
+    summarise_zone,
 )
-from fescuedrum.decisions.membership import Beat, Membership
-from fescuedrum.decisions.pacing import allowed_silence, beat_interval
+from fescuedrum.decisions.membership import HeartbeatInfo, Membership
+from fescuedrum.decisions.pacing import allowed_silence, send_interval
 from fescuedrum.events.event import log_event
 from fescuedrum.events.tables import InstancesNotRead
 from fescuedrum.exceptions import StoreUnavailable
@@ -69,7 +69,7 @@
         self.entry = entry
         self.settings = entry.settings
         self.membership = Membership()
-        self.digests = Digests()
+        self.digests = ZoneDigests()
         self.instances = None
         self.entry_count = 0
         self.channels = set()
@@ -91,7 +91,7 @@
             self.seeds[seed.name] = asyncio.create_task(peer.run())
         tasks = [
             asyncio.create_task(self.follow_instances()),
-            asyncio.create_task(self.judge()),
+            asyncio.create_task(self.update_states()),
             asyncio.create_task(self.tell_digest()),
         ]
         try:
@@ -115,7 +115,7 @@
     def interval(self):
         """Return the seconds between heartbeats, longer with many members."""
         members = len(self.entry.links) + len(self.channels)
-        return beat_interval(self.settings.heartbeat_seconds, members)
+        return send_interval(self.settings.heartbeat_seconds, members)
 
     def allowed_silence(self):
         """Return the seconds without a heartbeat after which a member is suspected."""
@@ -189,7 +189,7 @@
         for each in agents:
             if each.zone != self.settings.zone:
                 remote.setdefault(each.service, []).append(each.name)
-        chosen = topology.choose_remote(self.settings.name, remote)
+        chosen = topology.choose_remote_agents(self.settings.name, remote)
         return [
             each
             for each in agents
@@ -204,11 +204,13 @@
             if each.role == ENTRY_ROLE and each.peer_port and each.name != name:
                 zones.setdefault(each.zone, []).append(each)
         wanted = [
-            each for each in zones.pop(zone, ()) if topology.dials(name, each.name)
+            each
+            for each in zones.pop(zone, ())
+            if topology.opens_connection(name, each.name)
         ]
         mine = self.zone_entries()
         for other, entries in zones.items():
-            if topology.is_spokesperson(name, mine, zone, other):
+            if topology.is_zone_delegate(name, mine, zone, other):
                 names = topology.best([each.name for each in entries], 1, name, other)
                 wanted += [each for each in entries if each.name in names]
         return {
@@ -254,7 +256,7 @@
 
     def heard(self, hello, heartbeat):
         """Take a heartbeat of the process that said hello on its connection."""
-        beat = Beat(
+        beat = HeartbeatInfo(
             hello.instance,
             hello.role,
             hello.zone,
@@ -274,12 +276,12 @@
         for channel in self.channels:
             channel.connection.send(heartbeat=self.entry.heartbeat())
 
-    async def judge(self):
+    async def update_states(self):
         """Suspect and forget members that stay silent."""
         while True:
             await asyncio.sleep(self.settings.heartbeat_seconds)
             now = self.loop.time()
-            self.membership.judge(now, self.allowed_silence())
+            self.membership.update_states(now, self.allowed_silence())
             self.damped = self.membership.damped(now)
 
     def describe(self):
@@ -327,7 +329,7 @@
         ]
         known = self.membership.members.values()
         members = [each for each in known if each.zone == zone]
-        return sum_up(zone, members, loads, self.entry.configuration.version)
+        return summarise_zone(zone, members, loads, self.entry.configuration.version)
 
     def take_digest(self, channel, frame):
         """Keep a zone's digest and pass it on to the own zone if it came first-hand."""
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/process/router.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/process/router.py
@@ -3,8 +3,8 @@
 import asyncio
 
 from fescuedrum.decisions.breakers import Breaker, State
-from fescuedrum.decisions.outliers import Outliers
-from fescuedrum.decisions.routing import Candidate, RoutingPolicy, View
+from fescuedrum.decisions.outliers import OutlierDetector
+from fescuedrum.decisions.routing import Candidate, EndpointView, RoutingPolicy
 from fescuedrum.outcomes import Outcome
 
 
@@ -29,8 +29,8 @@
     __slots__ = ("changed", "outliers", "targets", "view")
 
     def __init__(self, policy):
-        self.view = View(policy)
-        self.outliers = Outliers()
+        self.view = EndpointView(policy)
+        self.outliers = OutlierDetector()
         self.targets = {}
         self.changed = asyncio.Event()
 
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/request/handler.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/request/handler.py
@@ -94,9 +94,9 @@
         plan, now = self.entry.stop_plan, loop_time()
         if plan is None:
             return
-        if not plan.takes(now, call.deadline):
+        if not plan.accepts(now, call.deadline):
             raise stopping()
-        plan.took(now)
+        plan.record_accepted(now)
         # Before the notice is over all are taken, by the hundred each second.
         if plan.is_noticed(now):
             tell_taken(plan, call.request_id, call.deadline, http_request.protocol)
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/request/quota.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/request/quota.py
@@ -4,7 +4,7 @@
 import contextlib
 import math
 
-from fescuedrum.decisions.allowances import Allowances
+from fescuedrum.decisions.allowances import OrganisationUsage
 from fescuedrum.exceptions import LimitReached
 
 
@@ -15,7 +15,7 @@
 
     def __init__(self, entry):
         self.entry = entry
-        self.allowances = Allowances()
+        self.allowances = OrganisationUsage()
 
     @contextlib.contextmanager
     def admit(self, call):
@@ -25,7 +25,7 @@
             # Removed since the call was parsed; nothing bounds what is under way.
             yield
             return
-        exceeded = self.allowances.enter(
+        exceeded = self.allowances.start_request(
             call.organisation,
             organisation.limits,
             call.cost,
@@ -40,4 +40,4 @@
         try:
             yield
         finally:
-            self.allowances.leave(call.organisation)
+            self.allowances.end_request(call.organisation)
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/request/selection.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/request/selection.py
@@ -4,7 +4,7 @@
 import math
 
 from fescuedrum.decisions.admission import TRY_ELSEWHERE
-from fescuedrum.decisions.routing import Wish
+from fescuedrum.decisions.routing import RoutingPreference
 from fescuedrum.exceptions import Overloaded, Unavailable
 
 # Two endpoints that are both too full speak for the service: more would only load it.
@@ -49,7 +49,7 @@
         return link
 
     def wish(self):
-        return Wish(
+        return RoutingPreference(
             zone=self.entry.settings.zone,
             organisation=self.call.organisation,
             loaded=self.call.model,
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/directory.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/directory.py
@@ -6,20 +6,20 @@
 from collections.abc import Callable
 
 from fescuedrum.conf.routing import RoutedService
-from fescuedrum.decisions.coldness import cold_requests
+from fescuedrum.decisions.coldness import cold_request_limit
 from fescuedrum.decisions.placement import (
+    EndpointHistory,
     Load,
     Option,
     PlacementLimits,
+    RecentRefusals,
     RefusalCause,
-    Refusals,
     Refused,
-    Standing,
-    candidates_for,
-    place,
-    place_soundly,
+    choose_endpoint,
+    choose_healthy,
+    sample_size,
 )
-from fescuedrum.decisions.presence import ListedEndpoint, Presences
+from fescuedrum.decisions.presence import EndpointPresence, ListedEndpoint
 from fescuedrum.decisions.ratelimits import (
     Limited,
     NotUnderstood,
@@ -28,7 +28,7 @@
     RateReport,
     Unlimited,
 )
-from fescuedrum.decisions.rooms import room
+from fescuedrum.decisions.rooms import request_limit
 from fescuedrum.decisions.shares import BoundShares
 from fescuedrum.events.event import log_event
 from fescuedrum.events.tables import (
@@ -80,6 +80,7 @@
         "adapter",
         "changed",
         "configuration",
+        "histories",
         "loop",
         "paces",
         "peers",
@@ -89,7 +90,6 @@
         "refusals",
         "settings",
         "shares",
-        "standings",
         "zones_out",
     )
 
@@ -102,9 +102,9 @@
         self.paces = paces
         self.random = random
         self.loop = asyncio.get_running_loop()
-        self.presences = Presences()
-        self.standings = collections.defaultdict(Standing)
-        self.refusals = collections.defaultdict(Refusals)
+        self.presences = EndpointPresence()
+        self.histories = collections.defaultdict(EndpointHistory)
+        self.refusals = collections.defaultdict(RecentRefusals)
         self.shares = BoundShares(settings.host, settings.zone)
         self.rate_limits = RateLimits()
         self.zones_out = {}
@@ -138,7 +138,7 @@
         known = self.presences.by_name.get(endpoint.name)
         if known is not None and known.endpoint.started_at != endpoint.started_at:
             # The same name, but nothing of its former life holds.
-            self.standings.pop(endpoint.name, None)
+            self.histories.pop(endpoint.name, None)
             self.rate_limits.forget(endpoint.name)
         self.presences.listed(endpoint)
         if known is None or known.endpoint != endpoint:
@@ -200,7 +200,7 @@
 
     # Choosing
 
-    def place(self, service, tried, returned):
+    def choose_endpoint(self, service, tried, returned):
         """Return Chosen or Refused for a request, never what was tried before."""
         self.expire()
         zones_out = set(self.zones_out.values())
@@ -216,23 +216,23 @@
         if len(mesh) < len(fresh):
             # Most requests end here: a large fleet's endpoints are not all looked at.
             options = [self.option(each, loads[each.name]) for each in mesh]
-            if placed := place_soundly(options, limits, now, self.random):
+            if placed := choose_healthy(options, limits, now, self.random):
                 return placed
         options = [self.option(each, loads[each.name]) for each in fresh]
-        return place(options, limits, now, self.random)
+        return choose_endpoint(options, limits, now, self.random)
 
     def is_in_mesh(self, endpoint: ListedEndpoint) -> bool:
         """Tell whether changes of an endpoint's load are told promptly."""
         return self.peers.is_one_mesh or endpoint.zone == self.settings.zone
 
     def option(self, endpoint, elsewhere):
-        standing = self.standings[endpoint.name]
+        history = self.histories[endpoint.name]
         load = Load(
-            standing.own.requests + elsewhere.requests,
-            standing.own.unread_tokens + elsewhere.unread_tokens,
+            history.own.requests + elsewhere.requests,
+            history.own.unread_tokens + elsewhere.unread_tokens,
         )
         same_zone = endpoint.zone == self.settings.zone
-        return Option(endpoint, load, standing, same_zone, self.is_in_mesh(endpoint))
+        return Option(endpoint, load, history, same_zone, self.is_in_mesh(endpoint))
 
     def limits(self, service, returned, endpoints):
         described = self.configuration.table.services.get(service)
@@ -242,7 +242,7 @@
         is_engine = described.engine is not None
         strain = self.strain(service) if is_engine else 0.0
         return PlacementLimits(
-            room=lambda endpoint: room(
+            request_limit=lambda endpoint: request_limit(
                 endpoint.slots,
                 is_engine=is_engine,
                 returned=returned,
@@ -251,14 +251,14 @@
             ),
             arrivals=self.arrivals(described),
             rated_arrivals=self.rated_arrivals,
-            candidates=candidates_for(self.peers.mesh_size),
+            candidates=sample_size(self.peers.mesh_size),
         )
 
     def arrivals(
         self, described: RoutedService
     ) -> Callable[[ListedEndpoint], int] | None:
         """Return the bound on what this gateway may send an endpoint in a second."""
-        total = cold_requests(
+        total = cold_request_limit(
             described.cold_per_second,
             self.settings.cold_factor,
             self.settings.cold_slack,
@@ -280,19 +280,19 @@
         current = self.paces[service].current(self.loop.time())
         return current / pause if pause and current else 0.0
 
-    def standing(self, endpoint):
-        return self.standings[endpoint.name]
+    def history(self, endpoint):
+        return self.histories[endpoint.name]
 
     def occupy(self, endpoint, tokens):
         """Charge an endpoint with a request that is about to be sent."""
-        standing = self.standings[endpoint.name]
-        standing.sent(self.loop.time())
-        return Occupation(self, endpoint.zone, standing.own, tokens)
+        history = self.histories[endpoint.name]
+        history.sent(self.loop.time())
+        return Occupation(self, endpoint.zone, history.own, tokens)
 
     def own_loads(self):
         """Return (name, load) of each endpoint at which this process has requests."""
         return [
-            (name, standing.own)
-            for name, standing in self.standings.items()
-            if standing.own.requests
+            (name, history.own)
+            for name, history in self.histories.items()
+            if history.own.requests
         ]
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/gateway.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/gateway.py
@@ -12,7 +12,7 @@
 from fescuedrum.conf.routing import RoutingDocument, RoutingTable
 from fescuedrum.decisions.experts.pace import PassPace
 from fescuedrum.decisions.retries import SharedRetryBudget
-from fescuedrum.decisions.returns import UsualPatience
+from fescuedrum.decisions.returns import PatienceTracker
 from fescuedrum.decisions.stopping import StopPlan
 from fescuedrum.events.event import log_event
 from fescuedrum.events.processes import (
@@ -98,7 +98,7 @@
             settings, adapter, self.configuration, self.peers, self.paces, self.random
         )
         self.directory.changed = self.peers.changed
-        self.patience = collections.defaultdict(UsualPatience)
+        self.patience = collections.defaultdict(PatienceTracker)
         self.retries = collections.defaultdict(self.build_retries)
         self.followers = []
         # The server that holds callers' connections.
@@ -267,7 +267,7 @@
     def peer_heard(self, peer):
         if peer.rate_reports:
             self.directory.take_rate_reports(peer.host, peer.rate_reports)
-        if self.directory.presences.store_away and peer.store_answers:
+        if self.directory.presences.store_unreachable and peer.store_answers:
             self.judge_store()
         for follower in self.followers:
             follower.peer_heard(peer)
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/peers.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/peers.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from fescuedrum.decisions import leading, meshes
-from fescuedrum.decisions.following import must_read
+from fescuedrum.decisions.following import must_read_store
 from fescuedrum.decisions.placement import Load
 from fescuedrum.decisions.ratelimits import (
     Limited,
@@ -106,7 +106,7 @@
         self.told_mesh_at = float("-inf")
         self.told_others_at = float("-inf")
         self.transport = None
-        self.pace = meshes.build_change_pace()
+        self.pace = meshes.build_change_limiter()
         # Zones whose gateways are still to be told of a change, and the timer for it.
         self.due_zones = set()
         self.pending = None
@@ -230,7 +230,7 @@
         answered = (
             each.host for each in heard if each.store_answers and not each.leaving
         )
-        return must_read(self.settings.host, answered)
+        return must_read_store(self.settings.host, answered)
 
     def ahead_of(self, table, version):
         """Return the gateways whose copy of a table is newer than version."""
@@ -415,7 +415,7 @@
     """Return what endpoints told of their rates as it goes into a beacon."""
     limits = []
     for endpoint, report in rate_limits.reports(now):
-        limit = EndpointLimit(endpoint=endpoint, age=now - report.said_at)
+        limit = EndpointLimit(endpoint=endpoint, age=now - report.stated_at)
         if isinstance(report.rate, Limited):
             limit.per_second = report.rate.per_second
         limits.append(limit)
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/admission.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/admission.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from fescuedrum.conf.routing import choose_service
-from fescuedrum.decisions.returns import RETURNED_RANKS
+from fescuedrum.decisions.returns import RETRY_RANK_PENALTY
 from fescuedrum.exceptions import (
     BodyTooLarge,
     BodyTooSlow,
@@ -80,7 +80,7 @@
     priority = route.priority
     if organisation is not None and organisation.priority is not None:
         priority = organisation.priority
-    return priority + RETURNED_RANKS if returned else priority
+    return priority + RETRY_RANK_PENALTY if returned else priority
 
 
 def refuse_at_stop():
@@ -99,7 +99,7 @@
     organisation = authenticate(head, route, table)
     end = ends_at(arrived, head, route)
     plan = gateway.stop_plan
-    if plan is not None and not plan.takes(arrived, end):
+    if plan is not None and not plan.accepts(arrived, end):
         raise refuse_at_stop()
     limit = table.document.limits.maximum_body_bytes
     left = end - asyncio.get_running_loop().time()
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/attempts.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/attempts.py
@@ -83,7 +83,9 @@
     def choose(self) -> ListedEndpoint:
         """Return an endpoint; raise Overloaded or Unavailable."""
         call = self.call
-        placed = self.gateway.directory.place(call.service, self.tried, call.returned)
+        placed = self.gateway.directory.choose_endpoint(
+            call.service, self.tried, call.returned
+        )
         match placed:
             case Chosen(endpoint, load):
                 self.check_stop()
@@ -115,7 +117,7 @@
         plan = self.gateway.stop_plan
         if plan is None or self.ran is not None:
             return
-        if not plan.takes(self.loop.time(), self.call.ends_at):
+        if not plan.accepts(self.loop.time(), self.call.ends_at):
             raise refuse_at_stop()
 
     async def open(self, last_event_id=""):
@@ -142,7 +144,7 @@
         )
         self.settle(endpoint, opened)
         if isinstance(opened, NotRun) and opened.answer is not None:
-            everywhere = self.refusals.is_everywhere(self.loop.time())
+            everywhere = self.refusals.is_service_wide(self.loop.time())
             return replace(opened, everywhere=everywhere)
         return opened
 
@@ -165,7 +167,7 @@
     def settle(self, endpoint, opened):
         """Note what the sending says of its endpoint."""
         directory = self.gateway.directory
-        standing = directory.standing(endpoint)
+        history = directory.history(endpoint)
         match opened:
             case NotRun(answer=Answered(head)) | Opened(head):
                 if head.status != MISDIRECTED_STATUS:
@@ -174,7 +176,7 @@
             case NotRun(reason, answer):
                 self.arrived |= answer is not None
                 if answer is None or answer.head.status == MISDIRECTED_STATUS:
-                    standing.failed(self.loop.time())
+                    history.failed(self.loop.time())
                 else:
                     self.sent += 1
                     self.refusals.refused(endpoint.name, self.loop.time())
@@ -183,14 +185,14 @@
             case Lost(reason):
                 self.arrived = True
                 self.sent += 1
-                standing.failed(self.loop.time())
+                history.failed(self.loop.time())
                 self.gateway.metrics.sent("lost")
                 self.log_end(endpoint, "lost", reason)
             case _:
                 self.arrived = True
                 self.sent += 1
                 self.gateway.metrics.sent("opened")
-                standing.succeeded()
+                history.succeeded()
                 self.refusals.answered()
 
     def log_end(self, endpoint, result, reason):
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/handler.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/handler.py
@@ -5,7 +5,7 @@
 
 from aiohttp import web
 
-from fescuedrum.decisions.returns import return_after
+from fescuedrum.decisions.returns import retry_delay
 from fescuedrum.events.event import log_event
 from fescuedrum.events.requests import (
     ANSWERED,
@@ -92,7 +92,7 @@
             patience = patience if head.patience is None else head.patience
             call = await admit(http_request, head, self.gateway, arrived)
             if plan := self.gateway.stop_plan:
-                plan.took(self.loop.time())
+                plan.record_accepted(self.loop.time())
                 tell_taken(plan, request_id, call.ends_at, http_request.protocol)
             self.gateway.retries[call.service].request(arrived)
             return await self.serve(http_request, call)
@@ -138,7 +138,7 @@
         """Set the time after which a refused caller should come back."""
         if not isinstance(error, Overloaded) or error.retry_after is not None:
             return
-        error.retry_after = return_after(max(patience, 0.0), self.gateway.random)
+        error.retry_after = retry_delay(max(patience, 0.0), self.gateway.random)
 
     def refuse(self, error, request_id, arrived):
         event = RequestRefused(
--- a/packages/fescuedrum/src/fescuedrum/decisions/admission.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/admission.py
@@ -109,7 +109,7 @@
         """Predict the seconds that a request takes once it runs."""
         return (self.delay or 0.0) * work.size
 
-    def judge(self, work, cost_ahead, limit, now):
+    def check_deadline(self, work, cost_ahead, limit, now):
         """Return Refused when a new request might end after its deadline, or None."""
         needed = self.wait(cost_ahead, limit) + self.run_time(work)
         left = work.deadline - now
@@ -117,7 +117,7 @@
             return None
         return self.refuse(RefusalReason.TOO_LATE, needed - left)
 
-    def judge_waiting(self, work, now):
+    def check_waiting_deadline(self, work, now):
         """Return Refused when a request that waited can't be in time, or None.
 
         It was let in with a margin, which is there to be used up.
--- a/packages/fescuedrum/src/fescuedrum/decisions/allowances.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/allowances.py
@@ -58,7 +58,7 @@
         self.running = 0
 
 
-class Allowances:
+class OrganisationUsage:
     """Hold what every organisation uses at one entry; times are loop time."""
 
     __slots__ = ("usages",)
@@ -66,7 +66,7 @@
     def __init__(self):
         self.usages = {}
 
-    def enter(self, name, limits, tokens, entries, now):
+    def start_request(self, name, limits, tokens, entries, now):
         """Count a request and return None, or return the limit that it exceeds."""
         usage = self.usages.get(name)
         if usage is None:
@@ -80,7 +80,7 @@
             usage.tokens.take(tokens)
         return None
 
-    def leave(self, name):
+    def end_request(self, name):
         """Count the end of a request that entered."""
         self.usages[name].running -= 1
 
--- a/packages/fescuedrum/src/fescuedrum/decisions/coldness.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/coldness.py
@@ -11,7 +11,9 @@
 SAFE_PART = 0.8
 
 
-def cold_requests(cold_per_second: float, factor: float, slack: float) -> int | None:
+def cold_request_limit(
+    cold_per_second: float, factor: float, slack: float
+) -> int | None:
     """Return what all may send one endpoint in a second; None without a bound."""
     if cold_per_second <= 0:
         return None
--- a/packages/fescuedrum/src/fescuedrum/decisions/digests.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/digests.py
@@ -53,7 +53,7 @@
     return max(SHORTEST_INTERVAL_SECONDS, zones / ZONES_PER_SECOND)
 
 
-def sum_up(zone, members, loads, version):
+def summarise_zone(zone, members, loads, version):
     """Sum up a zone from its members and (service, load report) of its endpoints."""
     alive = [member for member in members if not member.silent]
     total = ZoneSum(
@@ -73,7 +73,7 @@
     return total
 
 
-class Digests:
+class ZoneDigests:
     """Keep the newest digest of each other zone."""
 
     __slots__ = ("made_at", "sums")
--- a/packages/fescuedrum/src/fescuedrum/decisions/fairness.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/fairness.py
@@ -86,7 +86,7 @@
     finding: Finding | None = None
 
 
-class FairnessWatch:
+class FairnessMonitor:
     """Compare organisations from interval to interval; now is loop time in seconds."""
 
     __slots__ = ("accounts", "evidence", "observations", "recent")
@@ -127,7 +127,7 @@
                 self.accounts[name].entitled += cost
         return interval
 
-    def judge(self, organisation, interval, now):
+    def evaluate(self, organisation, interval, now):
         """Judge one organisation's interval; return newly raised findings."""
         judged = [
             self.judge_measure(organisation, measure, interval, now)
--- a/packages/fescuedrum/src/fescuedrum/decisions/following.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/following.py
@@ -14,7 +14,7 @@
 
 import zlib
 
-READERS = 6
+STORE_READERS = 6
 
 
 def place_of(host):
@@ -22,8 +22,8 @@
     return (zlib.crc32(host.encode()), host)
 
 
-def must_read(own_host, answered_hosts):
+def must_read_store(own_host, answered_hosts):
     """Tell whether a process reads; answered_hosts are those that the store answers."""
     own = place_of(own_host)
     before = sum(place_of(host) < own for host in answered_hosts)
-    return before < READERS
+    return before < STORE_READERS
--- a/packages/fescuedrum/src/fescuedrum/decisions/leading.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/leading.py
@@ -25,11 +25,11 @@
     link_megabits: float
 
     @property
-    def place(self):
+    def sort_key(self):
         """Return where it stands in the order; the least is first."""
         return (-self.link_megabits, self.host)
 
 
 def is_first(own, others):
     """Tell whether a candidate stands before all others."""
-    return all(own.place < other.place for other in others)
+    return all(own.sort_key < other.sort_key for other in others)
--- a/packages/fescuedrum/src/fescuedrum/decisions/leases.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/leases.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Take:
+class Acquire:
     """Try to become the holder if the row still has this version."""
 
     expected_version: int
@@ -71,10 +71,10 @@
             return Renew(self.version)
         patience = self.duration * (1 + CLOCK_RATE_MARGIN)
         if not holder or now - self.seen_at >= patience:
-            return Take(self.version)
+            return Acquire(self.version)
         return Wait()
 
-    def won(self, fence, version, sent_at):
+    def record_written(self, fence, version, sent_at):
         """Note that a write of ours, sent at that time, is in the table."""
         self.fence = fence
         self.version = version
--- a/packages/fescuedrum/src/fescuedrum/decisions/limits.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/limits.py
@@ -37,7 +37,7 @@
     WARM = "warm"
 
 
-class Pace:
+class StartLimiter:
     """Let no more requests start within a short time than a cold endpoint carries.
 
     An endpoint that turns cold cuts what it runs, but what is on its way at that moment
--- a/packages/fescuedrum/src/fescuedrum/decisions/membership.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/membership.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Beat:
+class HeartbeatInfo:
     """Hold what one heartbeat tells of its sender."""
 
     name: str
@@ -151,7 +151,7 @@
                 self.members[name] = member
             member.listed = True
 
-    def judge(self, now, silence):
+    def update_states(self, now, silence):
         """Suspect, bury and forget by seconds of silence; return forgotten names."""
         forgotten = []
         for member in [*self.members.values()]:
--- a/packages/fescuedrum/src/fescuedrum/decisions/meshes.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/meshes.py
@@ -12,7 +12,7 @@
 gateways of the endpoint's zone. All others hear of it with the next heartbeat.
 """
 
-from fescuedrum.decisions.pacing import Pace, beat_interval
+from fescuedrum.decisions.pacing import MessageLimiter, send_interval
 
 # Messages a second within a mesh; with those to other zones some 12 KB a second.
 PROMPT_PER_SECOND = 80.0
@@ -27,7 +27,7 @@
 
 def change_interval(members: int) -> float:
     """Return the seconds between two changes that a busy gateway tells each member."""
-    return beat_interval(0.0, members, PROMPT_PER_SECOND)
+    return send_interval(0.0, members, PROMPT_PER_SECOND)
 
 
 def is_fresh(members: int) -> bool:
@@ -38,9 +38,9 @@
 def heartbeat_interval(base: float, members: int, *, in_mesh: bool) -> float:
     """Return the seconds between heartbeats to each of so many gateways."""
     rate = PROMPT_PER_SECOND if in_mesh else REMOTE_PER_SECOND
-    return beat_interval(base, members, rate)
+    return send_interval(base, members, rate)
 
 
-def build_change_pace() -> Pace:
+def build_change_limiter() -> MessageLimiter:
     """Return the pace at which one gateway tells of changes."""
-    return Pace(PROMPT_PER_SECOND, BURST_SECONDS)
+    return MessageLimiter(PROMPT_PER_SECOND, BURST_SECONDS)
--- a/packages/fescuedrum/src/fescuedrum/decisions/outliers.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/outliers.py
@@ -36,7 +36,7 @@
     next_trial_at: float = 0.0
 
 
-class Outliers:
+class OutlierDetector:
     """Compare the endpoints of one service; times are loop time in seconds."""
 
     __slots__ = ("ejected", "median", "median_at", "standings")
--- a/packages/fescuedrum/src/fescuedrum/decisions/pacing.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/pacing.py
@@ -5,22 +5,22 @@
 Without jitter the dials come in waves that fill the listeners' queues and fail
 together; with a fixed interval a node's control traffic grows with its zone. So waits
 double with each failure and are drawn from the whole interval, and heartbeats slow
-down once there are more members than BEATS_PER_SECOND allows.
+down once there are more members than HEARTBEATS_PER_SECOND allows.
 
 64 heartbeats a second are 9.5 KB a second sent: 45 bytes each, 52 of their packet's
 headers, and 52 for the acknowledgement of the one that came the other way. With digests
 and documents that leaves room within the 17 KB a second that a node may spend.
 """
 
-BEATS_PER_SECOND = 64.0
+HEARTBEATS_PER_SECOND = 64.0
 # A member is silent after this many heartbeats that did not come.
 MISSED_BEATS = 4
 FIRST_RETRY_SECONDS = 0.2
 LONGEST_RETRY_SECONDS = 5.0
 
 
-def beat_interval(
-    base: float, members: int, beats_per_second: float = BEATS_PER_SECOND
+def send_interval(
+    base: float, members: int, beats_per_second: float = HEARTBEATS_PER_SECOND
 ) -> float:
     """Return the seconds between heartbeats to each of so many members."""
     return max(base, members / beats_per_second)
@@ -31,7 +31,7 @@
     return max(base, MISSED_BEATS * interval)
 
 
-class Pace:
+class MessageLimiter:
     """Keep messages to a mean rate; what was not used lately may be sent at once.
 
     Times are loop time in seconds.
--- a/packages/fescuedrum/src/fescuedrum/decisions/placement.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/placement.py
@@ -47,7 +47,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Standing:
+class EndpointHistory:
     """Hold what this entry knows of one endpoint beyond its line in the list."""
 
     own: Load = field(default_factory=Load)
@@ -77,7 +77,7 @@
         self.avoided_until = 0.0
 
 
-class Refusals:
+class RecentRefusals:
     """Tell a service that refuses everywhere from one endpoint that refuses.
 
     A group of engines refuses at all its ranks while one of them is gone, and a request
@@ -97,7 +97,7 @@
     def answered(self):
         self.times.clear()
 
-    def is_everywhere(self, now):
+    def is_service_wide(self, now):
         """Tell whether several endpoints refused just now and none answered since."""
         recent = [at for at in self.times.values() if now - at <= REFUSAL_SECONDS]
         return len(recent) >= REFUSING_ENDPOINTS
@@ -109,7 +109,7 @@
 
     endpoint: object
     load: Load
-    standing: Standing
+    history: EndpointHistory
     same_zone: bool
     # Whether changes of its load are told promptly.
     in_mesh: bool = True
@@ -144,7 +144,7 @@
     """Bound what an endpoint gets and how many of them are compared."""
 
     # Returns how many requests may be at an endpoint; None for no bound.
-    room: Callable[[object], int] | None = None
+    request_limit: Callable[[object], int] | None = None
     # Returns how many requests this entry may send an endpoint in a second; None for
     # no bound.
     arrivals: Callable[[object], int] | None = None
@@ -155,7 +155,7 @@
     candidates: int | None = None
 
 
-def place(options, limits, now, random):
+def choose_endpoint(options, limits, now, random):
     """Choose among options."""
     if not options:
         return Refused(RefusalCause.NONE_LISTED)
@@ -165,21 +165,21 @@
     open_options = [each for each in open_options if is_within_rate(each, limits, now)]
     if not open_options:
         return Refused(RefusalCause.ALL_RATE_LIMITED)
-    sound = [each for each in open_options if each.standing.avoided_until <= now]
+    sound = [each for each in open_options if each.history.avoided_until <= now]
     best = least_loaded(sound or open_options, limits, random)
     if best is None:
         return Refused(RefusalCause.ALL_FULL)
     return Chosen(best.endpoint, best.load)
 
 
-def place_soundly(
+def choose_healthy(
     options: list[Option], limits: PlacementLimits, now: float, random: Random
 ) -> Chosen | None:
     """Choose among options that have a place and did not fail lately, if any."""
     sound = [
         each
         for each in options
-        if each.standing.avoided_until <= now
+        if each.history.avoided_until <= now
         and has_cold_room(each, limits, now)
         and is_within_rate(each, limits, now)
     ]
@@ -187,7 +187,7 @@
     return None if best is None else Chosen(best.endpoint, best.load)
 
 
-def candidates_for(members: int) -> int | None:
+def sample_size(members: int) -> int | None:
     """Return how many endpoints of a mesh of so many to compare; None for all."""
     return None if meshes.is_fresh(members) else CANDIDATES
 
@@ -223,22 +223,22 @@
 
 
 def has_place(option, limits):
-    if limits.room is None:
+    if limits.request_limit is None:
         return True
-    return option.load.requests < limits.room(option.endpoint)
+    return option.load.requests < limits.request_limit(option.endpoint)
 
 
 def has_cold_room(option, limits, now):
     if limits.arrivals is None:
         return True
-    return option.standing.arrivals.value(now) < limits.arrivals(option.endpoint)
+    return option.history.arrivals.value(now) < limits.arrivals(option.endpoint)
 
 
 def is_within_rate(option: Option, limits: PlacementLimits, now: float) -> bool:
     if limits.rated_arrivals is None:
         return True
     allowed = limits.rated_arrivals(option.endpoint)
-    return allowed is None or option.standing.rated_arrivals.value(now) < allowed
+    return allowed is None or option.history.rated_arrivals.value(now) < allowed
 
 
 def rank(option, random):
--- a/packages/fescuedrum/src/fescuedrum/decisions/presence.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/presence.py
@@ -52,25 +52,25 @@
     gone_at: float | None = None
 
 
-class Presences:
+class EndpointPresence:
     """Follow the list of endpoints; times are loop time in seconds."""
 
-    __slots__ = ("by_name", "outage_ended_at", "store_away")
+    __slots__ = ("by_name", "outage_ended_at", "store_unreachable")
 
     def __init__(self):
         self.by_name = {}
-        self.store_away = False
+        self.store_unreachable = False
         self.outage_ended_at = float("-inf")
 
     def store_lost(self):
         """Note that the store does not answer."""
-        self.store_away = True
+        self.store_unreachable = True
 
     def store_returned(self, now):
         """Note that the store answers; only the end of an outage changes anything."""
-        if not self.store_away:
+        if not self.store_unreachable:
             return
-        self.store_away = False
+        self.store_unreachable = False
         self.outage_ended_at = now
         for presence in self.by_name.values():
             if presence.gone_at is not None:
@@ -88,13 +88,13 @@
         draining = presence.endpoint.state is EndpointState.DRAINING
         if draining or not self.is_doubtful(now):
             del self.by_name[name]
-        elif self.store_away:
+        elif self.store_unreachable:
             presence.gone_at = float("inf")
         else:
             presence.gone_at = self.outage_ended_at + RETURN_SECONDS
 
     def is_doubtful(self, now):
-        return self.store_away or now < self.outage_ended_at + RETURN_SECONDS
+        return self.store_unreachable or now < self.outage_ended_at + RETURN_SECONDS
 
     def expire(self, now):
         """Drop the entries on trial whose time is over; return their names."""
--- a/packages/fescuedrum/src/fescuedrum/decisions/queueing.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/queueing.py
@@ -229,7 +229,7 @@
         if not share.waiting:
             del self.active[share.name]
 
-    def charge_direct(self, work):
+    def charge_unqueued(self, work):
         """Charge a request that found the endpoint free and never waited."""
         share = self.share(work.organisation)
         share.counter = self.joining_counter(share)
@@ -269,7 +269,7 @@
             return self.joining_counter(share) - self.virtual
         return share.counter - self.virtual
 
-    def most_over(self):
+    def next_to_shed(self):
         """Return whom to refuse when the queue is full.
 
         It is the lowest in rank and the latest due of the organisation that waits
@@ -284,7 +284,7 @@
         )
         return max(share.waiting.values(), key=lambda each: each.order)
 
-    def works(self):
+    def waiting_requests(self):
         """Return all waiting requests."""
         return [
             work for share in self.active.values() for work in share.waiting.values()
@@ -324,7 +324,7 @@
             work.waiting = False
             self.backlog -= work.cost
 
-    def charge_direct(self, work):
+    def charge_unqueued(self, work):
         """Charge nothing: order of arrival keeps no account."""
 
     def correct(self, work, true_cost):
@@ -333,10 +333,10 @@
     def cost_ahead(self, work):
         return self.backlog
 
-    def most_over(self):
+    def next_to_shed(self):
         return next(reversed(self.waiting.values())) if self.waiting else None
 
-    def works(self):
+    def waiting_requests(self):
         return list(self.waiting.values())
 
 
--- a/packages/fescuedrum/src/fescuedrum/decisions/ratelimits.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/ratelimits.py
@@ -51,7 +51,7 @@
     """Hold what an endpoint's answer said of its rate, and when, in loop time."""
 
     rate: Limited | Unlimited
-    said_at: float
+    stated_at: float
 
 
 class RateLimits:
@@ -77,7 +77,7 @@
     def merge(self, endpoint: str, report: RateReport) -> bool:
         """Take another gateway's report; tell whether it changes the limit in force."""
         known = self.newest.get(endpoint)
-        if known is not None and known.said_at >= report.said_at:
+        if known is not None and known.stated_at >= report.stated_at:
             return False
         self.newest[endpoint] = report
         return (known.rate if known else Unlimited()) != report.rate
@@ -90,8 +90,8 @@
     def requests(self, endpoint: str, now: float) -> int | None:
         """Return what all may send an endpoint in a window; None without a limit."""
         match self.newest.get(endpoint):
-            case RateReport(Limited(per_second), said_at):
-                is_silent = now - said_at > SILENT_SECONDS
+            case RateReport(Limited(per_second), stated_at):
+                is_silent = now - stated_at > SILENT_SECONDS
                 least = PROBE_REQUESTS if is_silent else 1
                 return max(int(per_second * WINDOW_SECONDS), least)
             case _:
@@ -108,7 +108,7 @@
     def reports(self, now: float) -> Iterator[tuple[str, RateReport]]:
         """Yield what this gateway was told itself and others should know."""
         for endpoint, report in list(self.own.items()):
-            is_old = now - report.said_at > ENDED_SECONDS
+            is_old = now - report.stated_at > ENDED_SECONDS
             if is_old and isinstance(report.rate, Unlimited):
                 self.forget(endpoint)
             else:
--- a/packages/fescuedrum/src/fescuedrum/decisions/returns.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/returns.py
@@ -22,15 +22,15 @@
 # New callers of one route have at least this part of its longest patience left.
 FRESH_PART = 0.8
 # How much less urgent a caller is who comes back.
-RETURNED_RANKS = 3
+RETRY_RANK_PENALTY = 3
 
 
-def return_after(patience: float, chance: random.Random) -> float:
+def retry_delay(patience: float, chance: random.Random) -> float:
     """Return after how many seconds a caller with so much patience should come back."""
     return patience * LONGEST_PART * (1 - SPREAD * chance.random())
 
 
-class UsualPatience:
+class PatienceTracker:
     """Follow how long the callers of a route are willing to wait, in seconds."""
 
     __slots__ = ("longest",)
--- a/packages/fescuedrum/src/fescuedrum/decisions/rooms.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/rooms.py
@@ -37,7 +37,7 @@
 PLAIN_ROUNDS = 3
 
 
-def room(
+def request_limit(
     slots: int,
     *,
     is_engine: bool,
--- a/packages/fescuedrum/src/fescuedrum/decisions/routing.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/routing.py
@@ -124,7 +124,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Wish:
+class RoutingPreference:
     """Say what a request would like; an empty text asks for nothing."""
 
     zone: str = ""
@@ -191,7 +191,7 @@
         return list(found)
 
 
-class View:
+class EndpointView:
     """Hold one service's usable endpoints as one entry knows them."""
 
     __slots__ = (
--- a/packages/fescuedrum/src/fescuedrum/decisions/stopping.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/stopping.py
@@ -39,7 +39,7 @@
         # Whether connections are being closed: nothing runs, or the time is over.
         self.closing = False
 
-    def takes(self, now, deadline):
+    def accepts(self, now, deadline):
         """Tell whether a request may begin now that is given up at its deadline.
 
         Guards against a stream that lasts longer than the process and breaks off in
@@ -61,7 +61,7 @@
         """Tell whether what still runs is cut."""
         return now >= self.latest
 
-    def took(self, now):
+    def record_accepted(self, now):
         """Note that a request was taken."""
         self.last_taken = now
 
--- a/packages/fescuedrum/src/fescuedrum/decisions/topology.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/topology.py
@@ -16,7 +16,7 @@
 
 READERS_PER_ZONE = 2
 # Two spokespeople for each other zone: one may be lost without a pause.
-SPOKESPEOPLE_PER_ZONE = 2
+DELEGATES_PER_ZONE = 2
 # Room for every endpoint of a site of three zones and two services; at the size to
 # design for a sixth of an entry's connections.
 REMOTE_LINKS = 24
@@ -40,13 +40,13 @@
     return name in best({name, *entries}, READERS_PER_ZONE, "reader", zone)
 
 
-def is_spokesperson(name, entries, own_zone, other_zone):
+def is_zone_delegate(name, entries, own_zone, other_zone):
     """Tell whether an entry talks to another zone for its own."""
     pair = ("spokesperson", own_zone, other_zone)
-    return name in best({name, *entries}, SPOKESPEOPLE_PER_ZONE, *pair)
+    return name in best({name, *entries}, DELEGATES_PER_ZONE, *pair)
 
 
-def choose_remote(name, agents):
+def choose_remote_agents(name, agents):
     """Return the agents of other zones that an entry keeps connections to.
 
     agents maps each service to the names of its agents in other zones.
@@ -60,6 +60,6 @@
     return chosen
 
 
-def dials(name, other):
+def opens_connection(name, other):
     """Tell which of two entries of a zone opens their one connection."""
     return name < other
--- a/packages/fescuedrum/src/fescuedrum/platform/leases.py
+++ b/packages/fescuedrum/src/fescuedrum/platform/leases.py
@@ -3,7 +3,7 @@
 import asyncio
 import logging
 
-from fescuedrum.decisions.leases import LeaseTerm, Renew, Take, Wait
+from fescuedrum.decisions.leases import Acquire, LeaseTerm, Renew, Wait
 from fescuedrum.events.event import log_event
 from fescuedrum.events.tables import LeaseNotRenewed
 from fescuedrum.exceptions import StoreUnavailable
@@ -60,7 +60,7 @@
         now = self.loop.time()
         self.term.observe(holder, row.version, value.get("fence"), now)
         match self.term.decide(holder, now):
-            case Take(expected_version):
+            case Acquire(expected_version):
                 await self.write(expected_version + 1, expected_version)
             case Renew(expected_version):
                 await self.write(value["fence"], expected_version)
@@ -77,7 +77,7 @@
         sent_at = self.loop.time()
         self.writes += 1
         if await self.table.transact([Write(self.key, value, expected_version)]):
-            self.term.won(fence, expected_version + 1, sent_at)
+            self.term.record_written(fence, expected_version + 1, sent_at)
         else:
             self.term.lost()
 
--- a/tests/integration/test_gateway.py
+++ b/tests/integration/test_gateway.py
@@ -113,7 +113,7 @@
         statuses = []
         for _ in range(8):
             statuses.append((await call(running, session))[0])
-            running.gateway.directory.standings.clear()
+            running.gateway.directory.histories.clear()
     assert first.seen
     assert set(statuses) == {502}
 
--- a/tests/integration/test_store_sharing.py
+++ b/tests/integration/test_store_sharing.py
@@ -13,12 +13,12 @@
 from support.gateways import build_settings, free_ports, running_gateway
 from support.routing import build_routing_document
 
-from fescuedrum.decisions.following import READERS
+from fescuedrum.decisions.following import STORE_READERS
 from fescuedrum.platform.interfaces import VersionedRow
 from fescuedrum_gateway.process.followers import CHANGES_PATH, Follower
 from fescuedrum_gateway.version.replica import Replica
 
-GATEWAYS = READERS + 4
+GATEWAYS = STORE_READERS + 4
 # Beacons of so many gateways come every 0.4 s, and one may be lost.
 SETTLED_SECONDS = 3.0
 IN_FORCE_SECONDS = 2.0
@@ -67,7 +67,7 @@
 async def wait_for_readers(store):
     """Wait until two tables of each reader, and no more, wait for changes."""
     async with asyncio.timeout(SETTLED_SECONDS):
-        while store.waiting != 2 * READERS:
+        while store.waiting != 2 * STORE_READERS:
             # What rests now still waits for its last call: a change ends it.
             store.put("endpoints", "nobody", None)
             store.put("operators", "nothing", None)
@@ -91,7 +91,7 @@
             for each in running
             if any(follower.answers for follower in each.gateway.followers)
         ]
-        assert len(readers) == READERS
+        assert len(readers) == STORE_READERS
         for each in readers[:3]:
             await each.end()
         left = [each for each in running if each not in readers[:3]]
@@ -175,7 +175,7 @@
         peers = SimpleNamespace(
             ahead_of=lambda table, version: list(ahead), count_entries=lambda: 98
         )
-        for number in range(1, READERS):
+        for number in range(1, STORE_READERS):
             reader = SimpleNamespace(host=f"reader-{number}", zone="zone-9")
             loop.call_later(0.005 * number, ahead.append, reader)
 
@@ -190,5 +190,5 @@
     asked = run_paused(run())
     assert all(len(each) == 1 for each in asked)
     by_peer = collections.Counter(each[0][1].host for each in asked)
-    assert max(by_peer.values()) <= 92 / READERS * 2
+    assert max(by_peer.values()) <= 92 / STORE_READERS * 2
     assert max(each[0][0] for each in asked) <= 0.2
--- a/tests/support/builders.py
+++ b/tests/support/builders.py
@@ -1,14 +1,14 @@
 """Build test data with sensible defaults."""
 
 from fescuedrum.conf import document as documents
-from fescuedrum.decisions.membership import Beat
+from fescuedrum.decisions.membership import HeartbeatInfo
 from fescuedrum.decisions.routing import Candidate
 from fescuedrum.wire.gen.frames import ttypes as frames
 
 
 def build_beat(name="a", **changes):
     values = {"role": "agent", "zone": "zone-1", "incarnation": 1, "service": "advice"}
-    return Beat(name, **values | changes)
+    return HeartbeatInfo(name, **values | changes)
 
 
 def build_candidate(name="a", zone="zone-1", **changes):
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -242,7 +242,7 @@
 
     async def call(self, gateway):
         began = self.loop.time()
-        placed = gateway.place(SERVICE, set(), False)
+        placed = gateway.choose_endpoint(SERVICE, set(), False)
         if not isinstance(placed, Chosen):
             self.count(began, "refused")
             return
--- a/tests/support/overload.py
+++ b/tests/support/overload.py
@@ -6,8 +6,8 @@
 import random
 from dataclasses import dataclass, field
 
-from fescuedrum.decisions.returns import UsualPatience, return_after
-from fescuedrum.decisions.rooms import room
+from fescuedrum.decisions.returns import PatienceTracker, retry_delay
+from fescuedrum.decisions.rooms import request_limit
 
 ENGINES = 16
 SLOTS = 6
@@ -55,7 +55,7 @@
         self.seconds = seconds
         self.random = random.Random(seed)
         self.engines = [Engine() for _ in range(ENGINES)]
-        self.usual = UsualPatience()
+        self.usual = PatienceTracker()
         self.outcomes = collections.defaultdict(collections.Counter)
         self.events = []
         self.order = itertools.count()
@@ -83,7 +83,7 @@
         returned = not self.usual.is_fresh(left)
         engine = min(self.engines, key=lambda each: each.requests)
         strain = self.pass_seconds() / PAUSE_SECONDS
-        bound = room(
+        bound = request_limit(
             SLOTS, is_engine=True, returned=returned, strain=strain, ranks=ENGINES
         )
         if engine.requests < bound:
@@ -93,7 +93,7 @@
             self.end(caller, "refused")
         else:
             caller.returned = True
-            self.at(now + return_after(left, self.random), self.ask, caller)
+            self.at(now + retry_delay(left, self.random), self.ask, caller)
 
     def start(self, now, engine):
         while engine.waiting and engine.running < SLOTS:
--- a/tests/unit/test_allowances.py
+++ b/tests/unit/test_allowances.py
@@ -7,7 +7,7 @@
 
 from fescuedrum.conf import document as documents
 from fescuedrum.conf.document import Limits
-from fescuedrum.decisions.allowances import BURST_SECONDS, Allowances, Exceeded
+from fescuedrum.decisions.allowances import BURST_SECONDS, Exceeded, OrganisationUsage
 from fescuedrum.decisions.sharing import effective_weights
 
 
@@ -17,62 +17,62 @@
     now, granted = 0.0, 0
     while now < seconds:
         now += chooser.expovariate(rate)
-        if allowances.enter("club", limits, tokens, entries, now) is None:
-            allowances.leave("club")
+        if allowances.start_request("club", limits, tokens, entries, now) is None:
+            allowances.end_request("club")
             granted += 1
     return granted
 
 
 def test_a_caller_that_runs_wild_gets_its_rate_and_no_more():
     """A club's program repeats its question in a loop, a hundred times a second."""
-    granted = arrive(Allowances(), Limits(requests_per_second=5.0), 100, 60)
+    granted = arrive(OrganisationUsage(), Limits(requests_per_second=5.0), 100, 60)
     assert 5 * 60 <= granted <= 5 * (60 + BURST_SECONDS) + 1
 
 
 def test_a_caller_within_its_rate_is_hardly_ever_refused():
     limits = Limits(requests_per_second=10.0)
     chooser = random.Random(3)
-    entries = [Allowances() for _ in range(6)]
+    entries = [OrganisationUsage() for _ in range(6)]
     now, refused, sent = 0.0, 0, 3000
     for _ in range(sent):
         now += chooser.expovariate(8.0)
         entry = chooser.choice(entries)
-        if entry.enter("club", limits, 1.0, len(entries), now):
+        if entry.start_request("club", limits, 1.0, len(entries), now):
             refused += 1
         else:
-            entry.leave("club")
+            entry.end_request("club")
     assert refused < 0.03 * sent
 
 
 def test_long_prompts_count_by_their_tokens():
     limits = Limits(tokens_per_second=100.0)
-    granted = arrive(Allowances(), limits, 20, 60, tokens=50.0)
+    granted = arrive(OrganisationUsage(), limits, 20, 60, tokens=50.0)
     assert 2 * 60 <= granted <= 2 * (60 + BURST_SECONDS) + 1
 
 
 def test_a_request_larger_than_the_burst_is_granted_once_the_bucket_is_full():
-    allowances = Allowances()
+    allowances = OrganisationUsage()
     limits = Limits(tokens_per_second=10.0)
-    assert allowances.enter("club", limits, 1000.0, 1, 0.0) is None
-    exceeded = allowances.enter("club", limits, 1.0, 1, 1.0)
+    assert allowances.start_request("club", limits, 1000.0, 1, 0.0) is None
+    exceeded = allowances.start_request("club", limits, 1.0, 1, 1.0)
     assert exceeded.limit == "tokens_per_second"
     assert exceeded.seconds == pytest.approx((1000 - 50 - 10 + 1) / 10)
 
 
 def test_places_are_given_back_and_each_entry_grants_one_at_least():
-    allowances = Allowances()
+    allowances = OrganisationUsage()
     limits = Limits(concurrent_requests=4)
     for _ in range(2):
-        assert allowances.enter("club", limits, 1.0, 2, 0.0) is None
-    exceeded = allowances.enter("club", limits, 1.0, 2, 0.0)
+        assert allowances.start_request("club", limits, 1.0, 2, 0.0) is None
+    exceeded = allowances.start_request("club", limits, 1.0, 2, 0.0)
     assert exceeded == Exceeded("concurrent_requests", 1.0)
-    allowances.leave("club")
-    assert allowances.enter("club", limits, 1.0, 2, 0.0) is None
-    assert Allowances().enter("club", limits, 1.0, 390, 0.0) is None
+    allowances.end_request("club")
+    assert allowances.start_request("club", limits, 1.0, 2, 0.0) is None
+    assert OrganisationUsage().start_request("club", limits, 1.0, 390, 0.0) is None
 
 
 def test_without_limits_nothing_is_bounded():
-    assert arrive(Allowances(), Limits(), 100, 10) > 900
+    assert arrive(OrganisationUsage(), Limits(), 100, 10) > 900
 
 
 def share(weights, *names):
--- a/tests/unit/test_capacity.py
+++ b/tests/unit/test_capacity.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from fescuedrum.decisions.pacing import BEATS_PER_SECOND
+from fescuedrum.decisions.pacing import HEARTBEATS_PER_SECOND
 from fescuedrum_bench.capacity import page, roles, slopes
 from fescuedrum_bench.capacity.size import Budget, Size
 
@@ -51,7 +51,7 @@
     few = roles.heartbeat_costs("entry", 64, found, Budget(), 100)
     many = roles.heartbeat_costs("entry", 640, found, Budget(), 100)
     each = 100 + roles.SEGMENT_OVERHEAD_BYTES
-    assert few[0].amount == pytest.approx(BEATS_PER_SECOND * each)
+    assert few[0].amount == pytest.approx(HEARTBEATS_PER_SECOND * each)
     assert many[0].amount == pytest.approx(few[0].amount)
 
 
--- a/tests/unit/test_coldness.py
+++ b/tests/unit/test_coldness.py
@@ -6,7 +6,7 @@
 from support.clock import run_paused
 from support.gateways import build_settings
 
-from fescuedrum.decisions.coldness import cold_requests
+from fescuedrum.decisions.coldness import cold_request_limit
 from fescuedrum.decisions.shares import BoundShares
 from fescuedrum_gateway.process import peers
 
@@ -42,7 +42,7 @@
 ):
     """A cold engine that bears 26 requests a second fails under one from each of 40."""
     shares = build_shares(GATEWAYS[:count], zones)
-    total = cold_requests(cold_per_second, FACTOR, SLACK)
+    total = cold_request_limit(cold_per_second, FACTOR, SLACK)
     for endpoint in ENDPOINTS[:10]:
         sent = total_sent(shares, endpoint, total)
         assert sent == total <= cold_per_second * FACTOR + SLACK
@@ -85,7 +85,7 @@
     With the same gateways in front at each engine all the rest would be left out.
     """
     shares = build_shares(GATEWAYS[:46], zones=1)
-    total = cold_requests(14, FACTOR, SLACK)
+    total = cold_request_limit(14, FACTOR, SLACK)
     reach = [
         sum(share.allowed(endpoint, "zone-0", total) for endpoint in ENDPOINTS)
         for share in shares
@@ -98,7 +98,7 @@
 def test_a_gateway_that_comes_or_goes_moves_one_place_at_each_endpoint():
     """Parts that were dealt anew at each restart would not add up for a moment."""
     hosts = GATEWAYS[:40]
-    total = cold_requests(14, FACTOR, SLACK)
+    total = cold_request_limit(14, FACTOR, SLACK)
     share = build_shares(hosts)[0]
     before = [share.allowed(endpoint, "zone-0", total) for endpoint in ENDPOINTS]
     ranks = {name: places.in_all for name, places in share.places.items()}
@@ -111,7 +111,7 @@
 
 def test_gateways_that_know_different_members_overrun_by_no_more_than_those():
     """Some have not yet heard of the last ones that started; the bound has room."""
-    total = cold_requests(14, FACTOR, SLACK)
+    total = cold_request_limit(14, FACTOR, SLACK)
     old, new = GATEWAYS[:36], GATEWAYS[36:40]
     shares = build_shares(old) + build_shares(old + new)[-len(new) :]
     most = max(total_sent(shares, endpoint, total) for endpoint in ENDPOINTS)
@@ -119,7 +119,7 @@
 
 
 def test_a_service_without_a_bound_has_none():
-    assert cold_requests(0, FACTOR, SLACK) is None
+    assert cold_request_limit(0, FACTOR, SLACK) is None
 
 
 def test_gateways_that_were_only_told_of_count_until_they_are_forgotten():
--- a/tests/unit/test_fairness.py
+++ b/tests/unit/test_fairness.py
@@ -6,7 +6,7 @@
 from support.load import Endpoint, build_gate
 
 from fescuedrum.decisions.comparison import Measure, Observation
-from fescuedrum.decisions.fairness import Decision, FairnessWatch
+from fescuedrum.decisions.fairness import Decision, FairnessMonitor
 from fescuedrum.decisions.queueing import FairQueue
 
 ORGANISATIONS = [f"club-{index}" for index in range(10)]
@@ -42,13 +42,13 @@
     return [
         finding
         for name in interval.organisations
-        for finding in watch.judge(name, interval, now)
+        for finding in watch.evaluate(name, interval, now)
     ]
 
 
 def run_intervals(chooser, plant, intervals=INTERVALS, watch=None):
     """Return (watch, findings); plant(chooser, organisation) builds an observation."""
-    watch = watch or FairnessWatch()
+    watch = watch or FairnessMonitor()
     findings = []
     for step in range(intervals):
         for name in ORGANISATIONS:
@@ -76,7 +76,7 @@
     for seed in range(5):
         chooser = random.Random(seed)
         endpoint = Endpoint(build_gate(queue=FairQueue(), floor=8, ceiling=8))
-        watch, findings = FairnessWatch(), []
+        watch, findings = FairnessMonitor(), []
         for step in range(60):
             until = endpoint.now + 10.0
             while endpoint.now < until:
@@ -195,7 +195,7 @@
     """One organisation sends ten times its share and is refused for that."""
 
     chooser = random.Random(2)
-    watch = FairnessWatch()
+    watch = FairnessMonitor()
     for step in range(INTERVALS):
         for name in ORGANISATIONS * 15:
             watch.observe(observe_fair(chooser, name))
--- a/tests/unit/test_gate.py
+++ b/tests/unit/test_gate.py
@@ -5,7 +5,7 @@
 from support.load import build_gate, build_work
 
 from fescuedrum.decisions.admission import RefusalReason
-from fescuedrum.decisions.limits import Pace
+from fescuedrum.decisions.limits import StartLimiter
 from fescuedrum_agent.process.gate import Abandoned, Answered, Failed
 
 
@@ -112,7 +112,7 @@
     """
     gate = build_gate(floor=2, ceiling=8, warm_after=3)
     serve(gate, 10)
-    gate.pace = Pace(2, 0.01)
+    gate.pace = StartLimiter(2, 0.01)
     woken = []
     gate.wake_after = woken.append
     works = [build_work(deadline=1e9) for _ in range(6)]
--- a/tests/unit/test_group_keeper.py
+++ b/tests/unit/test_group_keeper.py
@@ -10,7 +10,7 @@
 from fescuedrum.conf.routing import EngineProfile, ExpertProfile, RoutedService
 from fescuedrum.decisions.experts import even
 from fescuedrum.decisions.experts.pace import PassPace
-from fescuedrum.decisions.presence import Presences
+from fescuedrum.decisions.presence import EndpointPresence
 from fescuedrum.groups.engines import HoldPass, PrepareMap
 from fescuedrum.groups.switching import MapChange, Switch, SwitchResult
 from fescuedrum_gateway.process.demand import DemandSample
@@ -38,7 +38,7 @@
 
 def build(group):
     service = RoutedService("advice", engine=EngineProfile(6, experts=PROFILE))
-    presences = Presences()
+    presences = EndpointPresence()
     for rank in range(RANKS):
         presences.listed(build_endpoint(f"e-{rank}", host="engine", port=rank))
     return build_keeper(
--- a/tests/unit/test_membership.py
+++ b/tests/unit/test_membership.py
@@ -8,7 +8,7 @@
 from fescuedrum.decisions import topology
 from fescuedrum.decisions.digests import (
     EXPIRY_INTERVALS,
-    Digests,
+    ZoneDigests,
     ZoneSum,
     digest_interval,
 )
@@ -19,10 +19,10 @@
     MemberState,
 )
 from fescuedrum.decisions.pacing import (
-    BEATS_PER_SECOND,
+    HEARTBEATS_PER_SECOND,
     LONGEST_RETRY_SECONDS,
     Backoff,
-    beat_interval,
+    send_interval,
 )
 
 SILENCE = 2.0
@@ -37,14 +37,14 @@
     membership.heard(build_beat(), 0.0)
     line = ("a", "agent", "zone-1", "advice")
     membership.listed([line], 0.0)
-    membership.judge(SILENCE, SILENCE)
+    membership.update_states(SILENCE, SILENCE)
     assert state_of(membership) is MemberState.ALIVE
-    membership.judge(SILENCE + 0.1, SILENCE)
+    membership.update_states(SILENCE + 0.1, SILENCE)
     assert state_of(membership) is MemberState.SUSPECTED
-    assert membership.judge(SILENCE * DEAD_FACTOR + 0.1, SILENCE) == []
+    assert membership.update_states(SILENCE * DEAD_FACTOR + 0.1, SILENCE) == []
     assert state_of(membership) is MemberState.DEAD
     membership.listed([], 11.0)
-    assert membership.judge(11.0, SILENCE) == ["a"]
+    assert membership.update_states(11.0, SILENCE) == ["a"]
 
 
 def test_an_announced_leave_counts_at_once_and_is_not_taken_back():
@@ -58,7 +58,7 @@
     assert not membership.heard(build_beat(sequence=5), 0.2)
     membership.heard(build_beat(sequence=7), 0.3)
     assert state_of(membership) is MemberState.LEAVING
-    assert membership.judge(0.3 + SILENCE + 0.1, SILENCE) == ["a"]
+    assert membership.update_states(0.3 + SILENCE + 0.1, SILENCE) == ["a"]
 
 
 def test_a_replaced_instance_is_a_new_member():
@@ -134,9 +134,9 @@
 
 def test_every_endpoint_of_a_small_site_is_linked_and_a_fleet_s_are_bounded():
     small = {"advice": [f"a{n}" for n in range(12)], "bookings": ["b0", "b1", "b2"]}
-    assert len(topology.choose_remote("entry-0", small)) == 15
+    assert len(topology.choose_remote_agents("entry-0", small)) == 15
     fleet = {f"s{k}": [f"s{k}-{n}" for n in range(104)] for k in range(10)}
-    linked = [topology.choose_remote(f"entry-{n}", fleet) for n in range(390)]
+    linked = [topology.choose_remote_agents(f"entry-{n}", fleet) for n in range(390)]
     assert all(len(chosen) <= topology.REMOTE_LINKS for chosen in linked)
     # Spread evenly: no endpoint is everyone's choice and none is nobody's.
     counts = dict.fromkeys((name for names in fleet.values() for name in names), 0)
@@ -153,19 +153,19 @@
     zones = [f"zone-{n}" for n in range(2, 20)]
     talks = {
         name: sum(
-            topology.is_spokesperson(name, names, "zone-1", each) for each in zones
+            topology.is_zone_delegate(name, names, "zone-1", each) for each in zones
         )
         for name in names
     }
-    assert sum(talks.values()) == topology.SPOKESPEOPLE_PER_ZONE * len(zones)
+    assert sum(talks.values()) == topology.DELEGATES_PER_ZONE * len(zones)
     assert max(talks.values()) <= 6
 
 
 def test_heartbeats_slow_down_so_that_their_rate_is_bounded():
-    assert beat_interval(0.5, 10) == 0.5
+    assert send_interval(0.5, 10) == 0.5
     for members in (40, 100, 300, 3000):
-        rate = members / beat_interval(0.5, members)
-        assert rate <= BEATS_PER_SECOND
+        rate = members / send_interval(0.5, members)
+        assert rate <= HEARTBEATS_PER_SECOND
 
 
 def test_reconnects_after_a_restart_of_all_entries_are_spread_out():
@@ -182,7 +182,7 @@
 
 
 def test_a_digest_counts_until_it_is_old_and_never_goes_back():
-    digests = Digests()
+    digests = ZoneDigests()
     assert digests.take(ZoneSum("z", version=2), age=0.0, now=10.0)
     # Passed on by a slower way, it is older though it comes later.
     assert not digests.take(ZoneSum("z", version=1), age=3.0, now=11.0)
--- a/tests/unit/test_placement.py
+++ b/tests/unit/test_placement.py
@@ -7,29 +7,31 @@
 
 from fescuedrum.decisions.placement import (
     Chosen,
+    EndpointHistory,
     Load,
     Option,
     PlacementLimits,
+    RecentRefusals,
     RefusalCause,
-    Refusals,
     Refused,
-    Standing,
-    place,
+    choose_endpoint,
 )
-from fescuedrum.decisions.rooms import room
+from fescuedrum.decisions.rooms import request_limit
 
 
-def build_option(name, requests=0, tokens=0, *, same_zone=True, standing=None):
+def build_option(name, requests=0, tokens=0, *, same_zone=True, history=None):
     return Option(
         build_endpoint(name),
         Load(requests, tokens),
-        standing or Standing(),
+        history or EndpointHistory(),
         same_zone,
     )
 
 
 def choose(options, limits=None, now=0.0, seed=1):
-    return place(options, limits or PlacementLimits(), now, random.Random(seed))
+    return choose_endpoint(
+        options, limits or PlacementLimits(), now, random.Random(seed)
+    )
 
 
 def test_the_fewest_requests_go_before_prompts_and_zones():
@@ -54,30 +56,30 @@
 
 
 def test_an_endpoint_that_fails_is_left_out_for_longer_each_time():
-    standing = Standing()
-    options = [build_option("bad", standing=standing), build_option("good", 3)]
-    standing.failed(now=10.0)
+    history = EndpointHistory()
+    options = [build_option("bad", history=history), build_option("good", 3)]
+    history.failed(now=10.0)
     assert choose(options, now=10.4).endpoint.name == "good"
     assert choose(options, now=10.6).endpoint.name == "bad"
-    standing.failed(now=10.6)
+    history.failed(now=10.6)
     assert choose(options, now=11.5).endpoint.name == "good"
-    standing.succeeded()
+    history.succeeded()
     assert choose(options, now=11.5).endpoint.name == "bad"
 
 
 def test_an_endpoint_that_failed_is_better_than_none():
-    standing = Standing()
-    standing.failed(now=0.0)
-    assert isinstance(choose([build_option("a", standing=standing)]), Chosen)
+    history = EndpointHistory()
+    history.failed(now=0.0)
+    assert isinstance(choose([build_option("a", history=history)]), Chosen)
 
 
 def test_a_cold_endpoint_gets_no_more_than_this_gateways_part():
-    standing = Standing()
+    history = EndpointHistory()
     limits = PlacementLimits(arrivals=lambda endpoint: 2)
-    options = [build_option("a", standing=standing)]
+    options = [build_option("a", history=history)]
     for now in (0.0, 0.1):
         assert isinstance(choose(options, limits, now), Chosen)
-        standing.arrivals.add(now)
+        history.arrivals.add(now)
     assert choose(options, limits, 0.5) == Refused(RefusalCause.ALL_AT_COLD_BOUND)
     assert isinstance(choose(options, limits, 1.05), Chosen)
 
@@ -90,9 +92,9 @@
 
     def limits(returned):
         def bound(endpoint):
-            return room(endpoint.slots, is_engine=True, returned=returned)
+            return request_limit(endpoint.slots, is_engine=True, returned=returned)
 
-        return PlacementLimits(room=bound)
+        return PlacementLimits(request_limit=bound)
 
     options = [build_option("a", 4), build_option("b", 5)]
     assert choose(options, limits(True)) == Refused(RefusalCause.ALL_FULL)
@@ -106,14 +108,14 @@
 
     One engine that refuses is its own trouble; two at the same time are the group's.
     """
-    refusals = Refusals()
+    refusals = RecentRefusals()
     refusals.refused("a", now=1.0)
     refusals.refused("a", now=1.1)
-    assert not refusals.is_everywhere(now=1.1)
+    assert not refusals.is_service_wide(now=1.1)
     refusals.refused("b", now=1.2)
-    assert refusals.is_everywhere(now=1.2)
-    assert not refusals.is_everywhere(now=1.8)
+    assert refusals.is_service_wide(now=1.2)
+    assert not refusals.is_service_wide(now=1.8)
     refusals.refused("a", now=2.0)
     refusals.refused("b", now=2.0)
     refusals.answered()
-    assert not refusals.is_everywhere(now=2.0)
+    assert not refusals.is_service_wide(now=2.0)
--- a/tests/unit/test_presence.py
+++ b/tests/unit/test_presence.py
@@ -2,11 +2,11 @@
 
 from support.routing import build_endpoint
 
-from fescuedrum.decisions.presence import EndpointState, Presences
+from fescuedrum.decisions.presence import EndpointPresence, EndpointState
 
 
 def build_presences(*names):
-    presences = Presences()
+    presences = EndpointPresence()
     for name in names:
         presences.listed(build_endpoint(name))
     return presences
--- a/tests/unit/test_ratelimits.py
+++ b/tests/unit/test_ratelimits.py
@@ -255,7 +255,7 @@
             for presence in list(gateway.presences.by_name.values()):
                 gateway.take_rate(presence.endpoint, Limited(0.5))
         causes = []
-        place = fleet.gateways[0].place
+        place = fleet.gateways[0].choose_endpoint
         for _ in range(10):
             placed = place(SERVICE, set(), False)
             causes.append(getattr(placed, "cause", None))
--- a/tests/unit/test_returns.py
+++ b/tests/unit/test_returns.py
@@ -5,7 +5,7 @@
 from support.overload import OverloadPlay, count
 
 from fescuedrum.decisions.retries import SharedRetryBudget
-from fescuedrum.decisions.returns import UsualPatience, return_after
+from fescuedrum.decisions.returns import PatienceTracker, retry_delay
 
 
 def test_refused_callers_come_back_late_and_not_together():
@@ -15,7 +15,7 @@
     while it is down nor all at once, and none may be told more than it keeps to.
     """
     chance = random.Random(1)
-    waits = [return_after(6.5, chance) for _ in range(100)]
+    waits = [retry_delay(6.5, chance) for _ in range(100)]
     assert min(waits) > 1.5
     assert max(waits) <= 6.5 / 3
     assert max(waits) - min(waits) > 0.4
@@ -27,14 +27,14 @@
     Told to come back within a second they have as much time left as new ones.
     """
     chance = random.Random(1)
-    usual = UsualPatience()
+    usual = PatienceTracker()
     usual.is_fresh(8.0)
-    back = [8.0 - return_after(8.0, chance) for _ in range(100)]
+    back = [8.0 - retry_delay(8.0, chance) for _ in range(100)]
     assert not any(usual.is_fresh(patience) for patience in back)
 
 
 def test_a_caller_with_less_patience_than_usual_has_come_back():
-    usual = UsualPatience()
+    usual = PatienceTracker()
     assert usual.is_fresh(8.05)
     assert usual.is_fresh(8.0)
     assert usual.is_fresh(6.9)
--- a/tests/unit/test_rooms.py
+++ b/tests/unit/test_rooms.py
@@ -4,7 +4,7 @@
 from support.routing import build_route, build_routing_document
 
 from fescuedrum.conf.routing import RoutingTable
-from fescuedrum.decisions.rooms import WAITING_STRAIN, room
+from fescuedrum.decisions.rooms import WAITING_STRAIN, request_limit
 
 SLOTS = 5
 PAUSE_SECONDS = 0.12
@@ -18,7 +18,7 @@
 
 
 def engine_room(strain, returned=False):
-    return room(SLOTS, is_engine=True, returned=returned, strain=strain)
+    return request_limit(SLOTS, is_engine=True, returned=returned, strain=strain)
 
 
 def pass_seconds(at_each):
@@ -74,15 +74,19 @@
     group of a dozen ranks; in one of 63 the longer ones come near the whole of it.
     """
     strain = 0.5
-    small = room(SLOTS, is_engine=True, returned=False, strain=strain, ranks=12)
-    large = room(SLOTS, is_engine=True, returned=False, strain=strain, ranks=63)
+    small = request_limit(
+        SLOTS, is_engine=True, returned=False, strain=strain, ranks=12
+    )
+    large = request_limit(
+        SLOTS, is_engine=True, returned=False, strain=strain, ranks=63
+    )
     assert large < small
-    calm = room(SLOTS, is_engine=True, returned=False, strain=0.3, ranks=63)
+    calm = request_limit(SLOTS, is_engine=True, returned=False, strain=0.3, ranks=63)
     assert calm > SLOTS
 
 
 def test_plain_services_know_no_strain():
-    assert room(SLOTS, is_engine=False, returned=False, strain=9.0) > SLOTS
+    assert request_limit(SLOTS, is_engine=False, returned=False, strain=9.0) > SLOTS
 
 
 def test_passes_stay_short_under_lasting_load():
--- a/tests/unit/test_routing.py
+++ b/tests/unit/test_routing.py
@@ -7,12 +7,12 @@
 from support.builders import build_candidate
 
 from fescuedrum.decisions.breakers import FAILURES, Breaker
-from fescuedrum.decisions.outliers import MAXIMUM_SHARE, Outliers
-from fescuedrum.decisions.routing import RoutingPolicy, View, Wish
+from fescuedrum.decisions.outliers import MAXIMUM_SHARE, OutlierDetector
+from fescuedrum.decisions.routing import EndpointView, RoutingPolicy, RoutingPreference
 
 
 def build_view(*candidates, policy=RoutingPolicy.ADAPTIVE):
-    view = View(policy)
+    view = EndpointView(policy)
     for candidate in candidates:
         view.add(candidate)
     return view
@@ -23,7 +23,7 @@
     view.report(candidate, running=running, **values | changes)
 
 
-HERE = Wish(zone="zone-1")
+HERE = RoutingPreference(zone="zone-1")
 
 
 def test_the_own_zone_goes_first_while_it_has_room():
@@ -75,7 +75,7 @@
     view = build_view(*candidates)
     for candidate, waiting in zip(candidates, (100, 140, 141), strict=True):
         report(view, candidate, 4, waiting=waiting)
-    wish = Wish(zone="zone-1", organisation="club")
+    wish = RoutingPreference(zone="zone-1", organisation="club")
     chooser = random.Random(3)
     for _ in range(30):
         view.sent(view.choose(wish, chooser), "club")
@@ -105,7 +105,7 @@
     candidates = [build_candidate(f"e{index}", limit=16) for index in range(12)]
     view = build_view(*candidates)
     chooser = random.Random(4)
-    wish = Wish(zone="zone-1", prefix="instructions")
+    wish = RoutingPreference(zone="zone-1", prefix="instructions")
     home = view.choose(wish, chooser)
     assert {view.choose(wish, chooser) for _ in range(50)} == {home}
     for _ in range(96):
@@ -116,10 +116,10 @@
 
 def test_an_endpoint_that_was_tried_is_not_chosen_again():
     view = build_view(*(build_candidate(f"e{index}") for index in range(5)))
-    wish = Wish(zone="zone-1", tried=frozenset(("e0", "e1", "e2", "e3")))
+    wish = RoutingPreference(zone="zone-1", tried=frozenset(("e0", "e1", "e2", "e3")))
     chosen = {view.choose(wish, random.Random(seed)).name for seed in range(50)}
     assert chosen == {"e4"}
-    all_tried = Wish(tried=frozenset(f"e{index}" for index in range(5)))
+    all_tried = RoutingPreference(tried=frozenset(f"e{index}" for index in range(5)))
     assert view.choose(all_tried, random.Random(1)) is None
 
 
@@ -146,7 +146,7 @@
 
 def test_a_slow_endpoint_is_ejected_and_gently_returned():
     """One engine of twelve runs five times slower; every twelfth caller waits."""
-    outliers = Outliers()
+    outliers = OutlierDetector()
     delays = {f"e{index}": 0.01 for index in range(12)}
     delays["e3"] = 0.05
     for step in range(6):
@@ -167,7 +167,7 @@
 
 def test_ejection_is_bounded_when_many_are_slow():
     """A new model makes half of the engines slower; they must go on serving."""
-    outliers = Outliers()
+    outliers = OutlierDetector()
     delays = {f"e{index}": 0.01 if index < 7 else 0.09 for index in range(12)}
     for step in range(20):
         report_all(outliers, delays, step + 1, step * 0.5)
--- a/tests/unit/test_stopping.py
+++ b/tests/unit/test_stopping.py
@@ -17,10 +17,10 @@
     than most, and the process ends before it.
     """
     plan = StopPlan(now=100.0, stop_seconds=8.0)
-    assert plan.takes(102.0, 102.0 + STREAM_PATIENCE)
+    assert plan.accepts(102.0, 102.0 + STREAM_PATIENCE)
     for now in (102.7, 104.28, 104.3, 106.6):
-        assert not plan.takes(now, now + STREAM_PATIENCE)
-        assert not plan.takes(now, math.inf)
+        assert not plan.accepts(now, now + STREAM_PATIENCE)
+        assert not plan.accepts(now, math.inf)
 
 
 def test_whatever_is_taken_after_the_notice_ends_before_the_process():
@@ -28,22 +28,22 @@
     for tenths in range(27, 90):
         now = 100.0 + tenths / 10
         for patience in (0.1, PLAIN_PATIENCE, 3.0, 5.0, STREAM_PATIENCE):
-            taken = plan.takes(now, now + patience)
+            taken = plan.accepts(now, now + patience)
             assert taken == (now + patience <= plan.latest), (now, patience)
 
 
 def test_nothing_is_taken_while_connections_are_closed():
     """A lookup that comes at the last moment is sent on and cut."""
     plan = StopPlan(now=100.0, stop_seconds=8.0)
-    assert plan.takes(103.2, 103.2 + PLAIN_PATIENCE)
+    assert plan.accepts(103.2, 103.2 + PLAIN_PATIENCE)
     plan.close()
-    assert not plan.takes(103.2, 103.2 + PLAIN_PATIENCE)
+    assert not plan.accepts(103.2, 103.2 + PLAIN_PATIENCE)
 
 
 def test_a_process_waits_for_the_balancer_and_for_what_runs():
     plan = StopPlan(now=0.0, stop_seconds=8.0)
     assert not plan.may_end(1.0, running=0)
-    plan.took(2.5)
+    plan.record_accepted(2.5)
     assert not plan.may_end(2.7, running=0)
     assert plan.may_end(3.1, running=0)
     assert not plan.may_end(3.1, running=1)
@@ -51,7 +51,7 @@
 
 def test_what_is_refused_does_not_hold_up_a_stop():
     plan = StopPlan(now=0.0, stop_seconds=8.0)
-    assert not plan.takes(4.9, 4.9 + STREAM_PATIENCE)
+    assert not plan.accepts(4.9, 4.9 + STREAM_PATIENCE)
     assert plan.may_end(5.0, running=0)
     assert not plan.may_end(5.0, running=2)
     assert plan.may_end(7.5, running=2)
@@ -59,6 +59,6 @@
 
 def test_a_short_stop_ends_in_time():
     plan = StopPlan(now=0.0, stop_seconds=1.0)
-    assert not plan.takes(0.0, STREAM_PATIENCE)
-    assert plan.takes(0.0, 0.3)
+    assert not plan.accepts(0.0, STREAM_PATIENCE)
+    assert plan.accepts(0.0, 0.3)
     assert plan.may_end(0.5, running=3)
