--- a/packages/fescuedrum-bench/src/fescuedrum_bench/capacity/measures.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/capacity/measures.py
@@ -114,7 +114,7 @@
             [chooser.paretovariate(1.2) for _ in range(EXPERTS)] for _ in range(LAYERS)
         ]
         begin = time.process_time()
-        planner.place_all(loads, topology)
+        planner.build_expert_map(loads, topology)
         points.append((ranks, time.process_time() - begin))
     return fit("experts.place", points, per="rank", unit="s")
 
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/expert_maps.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/expert_maps.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from fescuedrum.decisions.experts import packing, placement, planner, stragglers
-from fescuedrum.decisions.experts.cost import Costs
+from fescuedrum.decisions.experts.cost import ChangeCosts
 from fescuedrum_bench.experiments.base import Experiment, Figure
 from fescuedrum_bench.popularity import DAY_SECONDS, INTERVAL_SECONDS, Pattern, Trace
 
@@ -73,7 +73,7 @@
     """Ask the planner."""
 
     def __init__(self, topology):
-        self.planner = planner.Planner(topology, Costs(), INTERVAL_SECONDS)
+        self.planner = planner.Planner(topology, ChangeCosts(), INTERVAL_SECONDS)
         self.meter = stragglers.SpeedMeter(topology.ranks)
 
     def observe(self, tick):
@@ -81,7 +81,7 @@
         # A rank's measured time is its tokens over its true speed.
         tokens = [1.0] * len(tick.speeds)
         self.meter.observe(tokens, [1 / speed for speed in tick.speeds])
-        self.planner.set_speeds(self.meter.rounded())
+        self.planner.set_speeds(self.meter.rounded_speeds())
 
     def next_map(self, current, now):
         plan = self.planner.plan(current, now)
@@ -110,23 +110,23 @@
 
 def simulate(policy, topology, ticks, first):
     """Run a policy over a trace."""
-    costs = Costs()
+    costs = ChangeCosts()
     current, skews, moved, changes = first, [], 0, 0
     late = None
     for tick in ticks:
         true = topology.with_speeds(tick.speeds)
-        skew = placement.measure(current, tick.loads, true).ratio
+        skew = placement.measure(current, tick.loads, true).max_to_mean
         if late is not None:
             old, part = late
-            before = placement.measure(old, tick.loads, true).ratio
+            before = placement.measure(old, tick.loads, true).max_to_mean
             skew = part * before + (1 - part) * skew
         skews.append(skew)
         late = None
         policy.observe(tick)
         changed = policy.next_map(current, tick.at)
         if changed is not None:
-            fetched = placement.moved_slots(current, changed)
-            seconds = fetched * costs.expert_bytes / costs.store_rate
+            fetched = placement.count_fetches(current, changed)
+            seconds = fetched * costs.expert_bytes / costs.store_bytes_per_second
             late = (current, min(seconds / INTERVAL_SECONDS, 1.0))
             moved += fetched
             changes += 1
@@ -142,7 +142,7 @@
     day_before = list(trace.ticks(begin, count))
     begin += DAY_SECONDS
     ticks = list(trace.ticks(begin, count))
-    first = planner.place_all(ticks[0].loads, topology)
+    first = planner.build_expert_map(ticks[0].loads, topology)
     policies = {
         "static": Static(),
         "replan": Replan(topology),
@@ -155,7 +155,7 @@
         name: simulate(policy, topology, ticks, first)
         for name, policy in policies.items()
     }
-    bounds = [placement.lower_bound(tick.loads, topology) for tick in ticks]
+    bounds = [placement.skew_lower_bound(tick.loads, topology) for tick in ticks]
     return scores, sum(bounds) / len(bounds)
 
 
@@ -200,9 +200,9 @@
     trace = Trace(Pattern.NOON, max(GROUPS), EXPERTS, LAYERS, random.Random(seed))
     before = trace.loads(0.0, shifted=False)
     begin = time.process_time()
-    first = planner.place_all(before, topology)
+    first = planner.build_expert_map(before, topology)
     from_nothing = time.process_time() - begin
-    ours = planner.Planner(topology, Costs(), INTERVAL_SECONDS)
+    ours = planner.Planner(topology, ChangeCosts(), INTERVAL_SECONDS)
     ours.observe(before, 0.0)
     ours.observe(trace.loads(0.0, shifted=True), INTERVAL_SECONDS)
     begin = time.process_time()
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/expert_weights.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/expert_weights.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from fescuedrum.decisions.experts import placement, planner
-from fescuedrum.decisions.experts.cost import Costs
+from fescuedrum.decisions.experts.cost import ChangeCosts
 from fescuedrum_bench.experiments.base import Experiment, Figure
 from fescuedrum_bench.popularity import Pattern, Trace
 
@@ -41,20 +41,20 @@
     """Lose each rank in turn and return the means."""
     topology = placement.build_topology(ranks, EXPERTS, LAYERS)
     trace = Trace(Pattern.STEADY, ranks, EXPERTS, LAYERS, random.Random(seed))
-    expert_map = planner.place_all(trace.loads(0.0, shifted=False), topology)
+    expert_map = planner.build_expert_map(trace.loads(0.0, shifted=False), topology)
     lost = replicated = 0
     for layer_map in expert_map.layers:
         for hosts in layer_map.hosts:
             lost += len(hosts)
             replicated += len(hosts) if len(hosts) > 1 else 0
-    costs = Costs()
+    costs = ChangeCosts()
     lost_bytes = lost * costs.expert_bytes / ranks
     part = replicated / lost
     reads = DATA_BLOCKS / 2
-    from_store = lost_bytes * (1 - part) / costs.store_rate
+    from_store = lost_bytes * (1 - part) / costs.store_bytes_per_second
     from_peers = lost_bytes * part / PEER_RATE
     return Recovery(
-        store_seconds=lost_bytes / costs.store_rate,
+        store_seconds=lost_bytes / costs.store_bytes_per_second,
         # Both come at the same time.
         peer_seconds=max(from_store, from_peers),
         coded_seconds=lost_bytes * reads / PEER_RATE,
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/exploration.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/exploration.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass, field
 
 from fescuedrum.groups.arbiter import ARM_TIMEOUT_SECONDS, Arbiter
-from fescuedrum.groups.holder import Holder, Phase
-from fescuedrum.groups.member import Member
+from fescuedrum.groups.holder import Holder, HolderPhase
+from fescuedrum.groups.member import Participant
 from fescuedrum.groups.messages import (
     Fetch,
     HoldAfter,
@@ -24,7 +24,7 @@
 from fescuedrum_bench.standins.lockstep import LockStepEngine
 
 # A horizon of one step reaches every order of holding and stepping soonest.
-HORIZON_STEPS = 1
+HOLD_LEAD_STEPS = 1
 LAST_STEP = 5
 # Rounds of delivering everything after which a group must step again.
 FAIR_ROUNDS = 12
@@ -55,7 +55,7 @@
     """Name the classes under test; a planted defect replaces one of them."""
 
     arbiter: type = Arbiter
-    member: type = Member
+    member: type = Participant
     holder: type = Holder
     engine: type = LockStepEngine
 
@@ -111,7 +111,7 @@
 
     def new_member(self, rank, classes):
         state = self.engines[rank].state()
-        return classes.member(rank, self.starts, state, horizon_steps=HORIZON_STEPS)
+        return classes.member(rank, self.starts, state, hold_lead_steps=HOLD_LEAD_STEPS)
 
     def order(self):
         """Sort the network, so that equal states have equal pickles."""
@@ -191,13 +191,13 @@
         self.deliver_all(world)
         self.send(world, world.holder.tick(0.0))
         self.deliver_all(world)
-        assert world.holder.phase is Phase.IDLE
+        assert world.holder.phase is HolderPhase.IDLE
         change, effects = world.holder.propose(0.0)
         if not self.scenario.loading:
             for rank in set(range(self.scenario.ranks)) - set(self.scenario.unloaded):
                 world.engines[rank].take(Fetch(change, 0.0))
                 world.members[rank].fetched(change)
-            world.holder.phase = Phase.DECIDING
+            world.holder.phase = HolderPhase.DECIDING
             effects = world.holder.tick(0.0)
         self.send(world, effects)
         return world
@@ -282,7 +282,7 @@
         """Let an agent read its engine's state."""
         state = world.engines[rank].state()
         if state.held:
-            effects = world.members[rank].held(state.held, state.horizon)
+            effects = world.members[rank].held(state.held, state.hold_step)
             self.send_from(world, rank, effects)
 
     def replace_holder(self, world):
@@ -327,7 +327,7 @@
             case Fetch(change) if taken:
                 self.send_from(world, rank, member.fetched(change))
             case HoldAfter() if engine.held:
-                effects = member.held(engine.held, engine.horizon)
+                effects = member.held(engine.held, engine.hold_step)
                 self.send_from(world, rank, effects)
 
     def deliver(self, world, item):
@@ -413,7 +413,7 @@
 
 def step_while_possible(world):
     """Step until a rank holds, or well past any horizon."""
-    limit = max(engine.step for engine in world.engines) + HORIZON_STEPS + 1
+    limit = max(engine.step for engine in world.engines) + HOLD_LEAD_STEPS + 1
     while True:
         lowest = min(engine.step for engine in world.engines)
         ready = [
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/standins/lockstep.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/standins/lockstep.py
@@ -16,7 +16,7 @@
         "fenced",
         "held",
         "history",
-        "horizon",
+        "hold_step",
         "loaded",
         "refusals",
         "scheduled",
@@ -31,7 +31,7 @@
         self.since = 0
         self.scheduled = None
         self.held = 0
-        self.horizon = 0
+        self.hold_step = 0
         self.loaded = {0}
         self.settled = 0
         self.refusals = 0
@@ -43,10 +43,10 @@
     def state(self):
         change, step = self.scheduled or (self.change, self.since)
         loaded = frozenset(self.loaded)
-        return EngineState(change, step, self.held, self.horizon, loaded)
+        return EngineState(change, step, self.held, self.hold_step, loaded)
 
     def may_start(self):
-        return not self.held or self.step < self.horizon
+        return not self.held or self.step < self.hold_step
 
     def start_step(self):
         """Start the next step under the map that is due."""
@@ -83,7 +83,7 @@
             return False
         if not self.held:
             self.held = change
-            self.horizon = self.step + steps
+            self.hold_step = self.step + steps
         return self.held == change
 
     def switch(self, change, step):
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/adapter.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/adapter.py
@@ -6,7 +6,7 @@
 from fescuedrum.conf.routing import RoutingDocument
 from fescuedrum.decisions.presence import ListedEndpoint
 from fescuedrum.decisions.ratelimits import Rate, Unlimited
-from fescuedrum.groups.engines import Engines
+from fescuedrum.groups.engines import EngineClient
 from fescuedrum.platform.interfaces import RowStore, VersionedRow
 
 
@@ -81,7 +81,7 @@
 
     def open_store(self, base_url: str, session) -> RowStore: ...
 
-    def open_engines(self, session, link_megabits: float) -> Engines:
+    def open_engines(self, session, link_megabits: float) -> EngineClient:
         """Return the engines as they are reached over a link of so many Mbit/s."""
         ...
 
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/directory.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/directory.py
@@ -82,7 +82,7 @@
         "configuration",
         "histories",
         "loop",
-        "paces",
+        "pass_timers",
         "peers",
         "presences",
         "random",
@@ -93,13 +93,13 @@
         "zones_out",
     )
 
-    def __init__(self, settings, adapter, configuration, peers, paces, random):
+    def __init__(self, settings, adapter, configuration, peers, pass_timers, random):
         self.settings = settings
         self.adapter = adapter
         self.configuration = configuration
         self.peers = peers
-        # PassPace by name of service, as the own streams show it.
-        self.paces = paces
+        # PassTimer by name of service, as the own streams show it.
+        self.pass_timers = pass_timers
         self.random = random
         self.loop = asyncio.get_running_loop()
         self.presences = EndpointPresence()
@@ -277,7 +277,7 @@
     def strain(self, service):
         """Return the length of passes over the pause allowed; 0 when unknown."""
         pause = self.configuration.table.pauses.get(service)
-        current = self.paces[service].current(self.loop.time())
+        current = self.pass_timers[service].current_pass_seconds(self.loop.time())
         return current / pause if pause and current else 0.0
 
     def history(self, endpoint):
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/duty.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/duty.py
@@ -16,7 +16,7 @@
 PACE_LOOKS = 5
 
 
-class GroupDuty:
+class GroupSupervisor:
     """Keep all groups while this process leads."""
 
     __slots__ = ("engines", "gateway", "keepers", "leads")
@@ -65,7 +65,7 @@
                     service,
                     self.engines,
                     gateway.directory.presences,
-                    gateway.paces[service.name],
+                    gateway.pass_timers[service.name],
                     gateway.metrics,
                     gateway.random,
                 )
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/gateway.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/gateway.py
@@ -10,7 +10,7 @@
 
 from fescuedrum import __version__, serving
 from fescuedrum.conf.routing import RoutingDocument, RoutingTable
-from fescuedrum.decisions.experts.pace import PassPace
+from fescuedrum.decisions.experts.pace import PassTimer
 from fescuedrum.decisions.retries import SharedRetryBudget
 from fescuedrum.decisions.returns import PatienceTracker
 from fescuedrum.decisions.stopping import StopPlan
@@ -33,7 +33,7 @@
 from fescuedrum_gateway.connection.endpoints import open_endpoint_session, open_socket
 from fescuedrum_gateway.process import followers
 from fescuedrum_gateway.process.directory import Directory
-from fescuedrum_gateway.process.duty import GroupDuty
+from fescuedrum_gateway.process.duty import GroupSupervisor
 from fescuedrum_gateway.process.followers import Follower
 from fescuedrum_gateway.process.metrics import GatewayMetrics
 from fescuedrum_gateway.process.peers import (
@@ -68,7 +68,7 @@
         "followers",
         "incarnation",
         "metrics",
-        "paces",
+        "pass_timers",
         "patience",
         "peers",
         "random",
@@ -93,9 +93,14 @@
         self.peers = Peers(settings, incarnation)
         self.peers.describe = self.describe
         # Length of passes by name of service, as the own streams show it.
-        self.paces = collections.defaultdict(PassPace)
+        self.pass_timers = collections.defaultdict(PassTimer)
         self.directory = Directory(
-            settings, adapter, self.configuration, self.peers, self.paces, self.random
+            settings,
+            adapter,
+            self.configuration,
+            self.peers,
+            self.pass_timers,
+            self.random,
         )
         self.directory.changed = self.peers.changed
         self.patience = collections.defaultdict(PatienceTracker)
@@ -136,7 +141,7 @@
             engines = self.adapter.open_engines(
                 self.store_session, self.settings.link_megabits
             )
-            duty = GroupDuty(self, engines)
+            duty = GroupSupervisor(self, engines)
             lasting += [self.peers.run, self.announce, duty.run, self.watch_loop]
             tasks = [asyncio.create_task(keep_running(work)) for work in lasting]
             log_event(logger, GatewayStarted(__version__))
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/keeper.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/keeper.py
@@ -211,7 +211,9 @@
         A change is given up where ranks refuse its orders: another process may have
         changed the map, or is about to.
         """
-        pass_seconds = self.pace.current(self.loop.time()) or USUAL_PASS_SECONDS
+        pass_seconds = (
+            self.pace.current_pass_seconds(self.loop.time()) or USUAL_PASS_SECONDS
+        )
         change = self.build_change(group, planned, pass_seconds)
         result, step = await self.carry_out(group, change, planned)
         if result is not SwitchResult.SWITCHED:
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/stream.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/stream.py
@@ -144,7 +144,9 @@
         """Take the time since the last event as the length of a pass."""
         now = self.loop.time()
         if self.event_at is not None:
-            self.gateway.paces[self.call.service].observe(now - self.event_at, now)
+            self.gateway.pass_timers[self.call.service].observe(
+                now - self.event_at, now
+            )
         self.event_at = now
 
     async def begin(self, head):
--- a/packages/fescuedrum/src/fescuedrum/decisions/experts/cost.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/experts/cost.py
@@ -13,17 +13,17 @@
 
 from dataclasses import dataclass
 
-from fescuedrum.decisions.experts.placement import moved_slots
+from fescuedrum.decisions.experts.placement import count_fetches
 
 
 @dataclass(slots=True, frozen=True)
-class Costs:
+class ChangeCosts:
     """Hold the figures of a group and of its share of the weight store."""
 
     # Bytes of one expert of one layer.
     expert_bytes: int = 90_000_000
     # Bytes a second that this group gets of the weight store, which all groups share.
-    store_rate: float = 5e8
+    store_bytes_per_second: float = 5e8
     # Seconds of a step; the users' 34 ms between tokens bound it.
     step_seconds: float = 0.03
     # Steps that a change holds the group up, in total.
@@ -60,9 +60,9 @@
 
 def weigh(costs, current, changed, time_now, time_then, lasting):
     """Weigh a change; the times are step times over the ideal, lasting in seconds."""
-    fetched = moved_slots(current, changed)
+    fetched = count_fetches(current, changed)
     fetched_bytes = fetched * costs.expert_bytes
-    load_seconds = fetched_bytes / costs.store_rate
+    load_seconds = fetched_bytes / costs.store_bytes_per_second
     cost = costs.risk_seconds
     cost += costs.stall_steps * costs.step_seconds
     cost += costs.interference * load_seconds
--- a/packages/fescuedrum/src/fescuedrum/decisions/experts/pace.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/experts/pace.py
@@ -36,7 +36,7 @@
 CURRENT_SECONDS = 0.6
 
 
-class PassPace:
+class PassTimer:
     """Follow the time between events of all streams of one service, in seconds."""
 
     __slots__ = ("changing_until", "gaps", "usual", "usual_at")
@@ -75,7 +75,7 @@
 
     def accept(self, now):
         """Take the present pace for the usual one: demand is not what slows it."""
-        self.usual = self.current(now)
+        self.usual = self.current_pass_seconds(now)
         self.usual_at = now
 
     def map_changed(self, until):
@@ -88,7 +88,7 @@
         current = [gap for at, gap in self.gaps if at >= now - KEPT_SECONDS]
         return len(current) >= LEAST_KNOWN
 
-    def current(self, now):
+    def current_pass_seconds(self, now):
         """Return how long passes are at present; None when unknown."""
         recent = [gap for at, gap in self.gaps if at >= now - CURRENT_SECONDS]
         return median(recent) if len(recent) >= LEAST_RECENT else None
--- a/packages/fescuedrum/src/fescuedrum/decisions/experts/placement.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/experts/placement.py
@@ -111,12 +111,12 @@
     ideal: float
 
     @property
-    def ratio(self):
+    def max_to_mean(self):
         """Return max/mean, the measure that operators read."""
         return self.highest / self.mean if self.mean else 1.0
 
     @property
-    def over_ideal(self):
+    def max_to_ideal(self):
         """Return the step time over the best possible one; decisions use this."""
         return self.highest / self.ideal if self.ideal else 1.0
 
@@ -134,7 +134,7 @@
     return Skew(highest, mean, ideal)
 
 
-def moved_slots(old, new):
+def count_fetches(old, new):
     """Count (rank, expert) pairs, all layers, whose weights must be fetched."""
     return sum(len(fetched) for fetched in fetches(old, new))
 
@@ -155,7 +155,7 @@
     return found
 
 
-def lower_bound(loads, topology):
+def skew_lower_bound(loads, topology):
     """Return the least skew that any map with these slots could reach.
 
     An expert with load L needs at least L / (T * fastest) slots to keep every rank
--- a/packages/fescuedrum/src/fescuedrum/decisions/experts/planner.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/experts/planner.py
@@ -33,7 +33,7 @@
 CHANGES_AFTER_JUMP = 2
 
 
-class Kind(enum.StrEnum):
+class ChangeType(enum.StrEnum):
     """Name the kinds of change, cheapest first."""
 
     SHARES = "shares"
@@ -47,7 +47,7 @@
 class Plan:
     """Hold a change that pays: the new map, its kind and its balance."""
 
-    kind: Kind
+    kind: ChangeType
     expert_map: ExpertMap
     balance: cost.Balance
 
@@ -112,29 +112,29 @@
 
     def mean_time(self, expert_map, samples):
         times = [
-            measure(expert_map, each, self.topology).over_ideal for each in samples
+            measure(expert_map, each, self.topology).max_to_ideal for each in samples
         ]
         return sum(times) / len(times)
 
     def options(self, current, loads):
         """Yield changes, cheapest first; dear ones only where cheap ones fall short."""
         topology = self.topology
-        now_time = measure(current, loads, topology).over_ideal
+        now_time = measure(current, loads, topology).max_to_ideal
         if now_time <= 1 + self.costs.least_saving:
             return
         shares = self.change_layers(current, loads, self.other_shares)
-        yield Kind.SHARES, shares
-        if measure(shares, loads, topology).over_ideal <= ENOUGH:
+        yield ChangeType.SHARES, shares
+        if measure(shares, loads, topology).max_to_ideal <= ENOUGH:
             return
         moves = shares
         for target in TARGETS:
             mend = functools.partial(self.mend, target=target)
             moves = self.change_layers(moves, loads, mend)
-            yield Kind.MOVES, replace(moves, number=current.number + 1)
-        reached = measure(moves, loads, topology).over_ideal
+            yield ChangeType.MOVES, replace(moves, number=current.number + 1)
+        reached = measure(moves, loads, topology).max_to_ideal
         if reached <= FRESH:
             return
-        yield Kind.PLACEMENT, self.change_layers(current, loads, self.place_anew)
+        yield ChangeType.PLACEMENT, self.change_layers(current, loads, self.place_anew)
 
     def change_layers(self, current, loads, change):
         layers = [
@@ -172,7 +172,7 @@
         restored = self.change_layers(current, forecast.loads, self.restore_layer)
         self.changes.append(now)
         return self.weigh(
-            Kind.RESTORE, current, restored, [forecast.loads], forecast.lasting
+            ChangeType.RESTORE, current, restored, [forecast.loads], forecast.lasting
         )
 
     def restore_layer(self, layer, layer_map, loads):
@@ -196,7 +196,7 @@
     return improver.layer_map
 
 
-def place_all(loads, topology, number=1):
+def build_expert_map(loads, topology, number=1):
     """Return a new map of the whole group, as a group starts with."""
     layers = [place(loads[layer], topology, layer) for layer in range(topology.layers)]
     return ExpertMap(number, layers)
--- a/packages/fescuedrum/src/fescuedrum/decisions/experts/stragglers.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/experts/stragglers.py
@@ -44,7 +44,7 @@
                 weight = 1.0 if abs(step) > 4 * EVEN else SPEED_WEIGHT
                 self.speeds[rank] += weight * step
 
-    def rounded(self):
+    def rounded_speeds(self):
         """Return the speeds to plan with; 0 is a rank that gets no work."""
         return tuple(round_speed(speed) for speed in self.speeds)
 
--- a/packages/fescuedrum/src/fescuedrum/groups/arbiter.py
+++ b/packages/fescuedrum/src/fescuedrum/groups/arbiter.py
@@ -15,8 +15,8 @@
     Arm,
     Armed,
     Ask,
-    Begin,
     Decision,
+    DecisionRequest,
     Discover,
     Inquire,
     Outcome,
@@ -83,7 +83,7 @@
         match message:
             case Standing():
                 return self.stand(message, now)
-            case Begin():
+            case DecisionRequest():
                 return self.begin(message, now)
             case Inquire(fence):
                 return self.inquire(fence)
@@ -179,7 +179,7 @@
         known = [each.decision for each in answers if each.decision is not None]
         if known:
             return self.conclude(known[0].committed, known[0].step, now)
-        horizons = [each.horizon for each in answers]
+        horizons = [each.hold_step for each in answers]
         if None in horizons:
             return self.conclude(False, 0, now)
         return self.conclude(True, max(horizons), now)
--- a/packages/fescuedrum/src/fescuedrum/groups/engines.py
+++ b/packages/fescuedrum/src/fescuedrum/groups/engines.py
@@ -92,14 +92,14 @@
     """Say what became of an order."""
 
     # Begun, or already so.
-    TAKEN = "taken"
+    ACCEPTED = "taken"
     # Not done and never will be: it does not fit the rank's state.
     REFUSED = "refused"
     # Done, not done, or done some seconds later.
     UNANSWERED = "unanswered"
 
 
-class Engines(Protocol):
+class EngineClient(Protocol):
     """Reach engines as ranks of a group; an address is a (host, port)."""
 
     async def read_report(self, address: tuple[str, int]) -> RankReport | None:
@@ -114,6 +114,6 @@
         """Return what a rank holds; None when it gives no usable answer."""
         ...
 
-    async def give(
+    async def send_order(
         self, address: tuple[str, int], epoch: int, order: Order
     ) -> OrderResult: ...
--- a/packages/fescuedrum/src/fescuedrum/groups/holder.py
+++ b/packages/fescuedrum/src/fescuedrum/groups/holder.py
@@ -9,7 +9,7 @@
 import enum
 
 from fescuedrum.groups.messages import (
-    Begin,
+    DecisionRequest,
     Inquire,
     Load,
     Loaded,
@@ -25,7 +25,7 @@
 LEAST_LOAD_SECONDS = 10.0
 
 
-class Phase(enum.StrEnum):
+class HolderPhase(enum.StrEnum):
     """Name how far a holder has come."""
 
     INQUIRING = "inquiring"
@@ -63,7 +63,7 @@
         self.rate = 0.0
         self.loaded = set()
         self.deadline = 0.0
-        self.phase = Phase.INQUIRING
+        self.phase = HolderPhase.INQUIRING
         self.outcome = None
         self.committed = 0
         self.abandoned = 0
@@ -73,7 +73,7 @@
 
     def propose(self, now, *, base=0, rate=0.0, load_seconds=0.0):
         """Begin a new change of the map of an earlier one: (number, effects)."""
-        assert self.phase is Phase.IDLE
+        assert self.phase is HolderPhase.IDLE
         self.count += 1
         self.change = change_number(self.fence, self.count)
         self.base = base
@@ -81,7 +81,7 @@
         self.loaded = set()
         patience = max(load_seconds * LOAD_PATIENCE, LEAST_LOAD_SECONDS)
         self.deadline = now + patience
-        self.phase = Phase.LOADING
+        self.phase = HolderPhase.LOADING
         return self.change, [self.load(rank) for rank in self.ranks]
 
     def load(self, rank):
@@ -91,14 +91,14 @@
         """Take a message; return the effects."""
         match message:
             case Refused(floor) if floor > self.fence:
-                self.phase = Phase.DEPOSED
-            case Loaded(rank, change) if self.expects(change, Phase.LOADING):
+                self.phase = HolderPhase.DEPOSED
+            case Loaded(rank, change) if self.expects(change, HolderPhase.LOADING):
                 return self.take_loaded(rank)
-            case Outcome(change) if self.expects(change, Phase.DECIDING):
+            case Outcome(change) if self.expects(change, HolderPhase.DECIDING):
                 self.finish(message)
-            case Outcome() if self.phase is Phase.INQUIRING and not message.busy:
+            case Outcome() if self.phase is HolderPhase.INQUIRING and not message.busy:
                 self.outcome = message
-                self.phase = Phase.IDLE
+                self.phase = HolderPhase.IDLE
         return []
 
     def expects(self, change, phase):
@@ -108,27 +108,27 @@
         self.loaded.add(rank)
         if len(self.loaded) < len(self.ranks):
             return []
-        self.phase = Phase.DECIDING
-        return [ToArbiter(Begin(self.change, self.fence))]
+        self.phase = HolderPhase.DECIDING
+        return [ToArbiter(DecisionRequest(self.change, self.fence))]
 
     def finish(self, outcome):
         self.outcome = outcome
         self.committed += outcome.committed
         self.abandoned += not outcome.committed
-        self.phase = Phase.IDLE
+        self.phase = HolderPhase.IDLE
 
     def tick(self, now):
         """Repeat what has not been answered; give up loading that takes too long."""
         match self.phase:
-            case Phase.INQUIRING:
+            case HolderPhase.INQUIRING:
                 return self.start()
-            case Phase.LOADING if now >= self.deadline:
+            case HolderPhase.LOADING if now >= self.deadline:
                 # Nothing was bound, so the old map is whole without any message.
                 self.abandoned += 1
-                self.phase = Phase.IDLE
-            case Phase.LOADING:
+                self.phase = HolderPhase.IDLE
+            case HolderPhase.LOADING:
                 missing = [rank for rank in self.ranks if rank not in self.loaded]
                 return [self.load(rank) for rank in missing]
-            case Phase.DECIDING:
-                return [ToArbiter(Begin(self.change, self.fence))]
+            case HolderPhase.DECIDING:
+                return [ToArbiter(DecisionRequest(self.change, self.fence))]
         return []
--- a/packages/fescuedrum/src/fescuedrum/groups/member.py
+++ b/packages/fescuedrum/src/fescuedrum/groups/member.py
@@ -30,7 +30,7 @@
 
 # Steps from arming to the horizon: two exchanges with the arbiter in one zone take
 # about 8 ms, a quarter of a step; the rest is for a loop that is busy.
-HORIZON_STEPS = 8
+HOLD_LEAD_STEPS = 8
 
 
 @dataclass(slots=True, frozen=True)
@@ -42,19 +42,19 @@
     step: int
     # The change for which it stops before a step, 0 for none.
     held: int = 0
-    horizon: int = 0
+    hold_step: int = 0
     loaded: frozenset[int] = frozenset()
 
 
-class Member:
+class Participant:
     """Hold one rank's part in a change."""
 
     __slots__ = (
         "bases",
         "decided",
         "floor",
-        "horizon",
-        "horizon_steps",
+        "hold_lead_steps",
+        "hold_step",
         "in_force",
         "incarnation",
         "loaded",
@@ -63,18 +63,18 @@
         "rank",
     )
 
-    def __init__(self, rank, incarnation, engine, *, horizon_steps=HORIZON_STEPS):
+    def __init__(self, rank, incarnation, engine, *, hold_lead_steps=HOLD_LEAD_STEPS):
         """Start from what the engine tells: an agent keeps nothing over a restart."""
         self.rank = rank
         self.incarnation = incarnation
-        self.horizon_steps = horizon_steps
+        self.hold_lead_steps = hold_lead_steps
         self.floor = 0
         self.promised = 0
         self.loaded = set(engine.loaded)
         # change: the change whose map it starts from, as the holder saw it.
         self.bases = {}
         self.pending = engine.held
-        self.horizon = engine.horizon if engine.held else None
+        self.hold_step = engine.hold_step if engine.held else None
         # What the engine runs or will run shows what was decided of its change.
         self.in_force = Decision(0, engine.change, True, engine.step)
         self.decided = self.in_force
@@ -134,12 +134,12 @@
             return [self.armed_answer(change, None, known)]
         is_old = change < max(self.pending, self.decided.change)
         waits_for_older = 0 < self.pending < change
-        if self.pending == change and self.horizon is not None:
-            return [self.armed_answer(change, self.horizon, None)]
+        if self.pending == change and self.hold_step is not None:
+            return [self.armed_answer(change, self.hold_step, None)]
         if is_old or waits_for_older or not self.has_whole(change):
             return [self.armed_answer(change, None, None)]
         self.pending = change
-        return [ToEngine(HoldAfter(change, self.horizon_steps))]
+        return [ToEngine(HoldAfter(change, self.hold_lead_steps))]
 
     def has_whole(self, change):
         """Tell whether the weights are here and belong to the map in force.
@@ -156,16 +156,18 @@
                 return decision
         return None
 
-    def armed_answer(self, change, horizon, decision):
+    def armed_answer(self, change, hold_step, decision):
         return ToArbiter(
-            Armed(self.rank, self.incarnation, self.promised, change, horizon, decision)
+            Armed(
+                self.rank, self.incarnation, self.promised, change, hold_step, decision
+            )
         )
 
-    def held(self, change, horizon):
+    def held(self, change, hold_step):
         """Take the engine's word that it will stop before a step for a change."""
         if change == self.pending:
-            self.horizon = horizon
-            return [self.armed_answer(change, horizon, None)]
+            self.hold_step = hold_step
+            return [self.armed_answer(change, hold_step, None)]
         known = self.known_decision(change)
         if known is not None and known.committed:
             # The order to switch is under way or lost; to release would undo it.
@@ -176,7 +178,7 @@
         if not self.pending:
             # The order of an earlier agent of this rank, which ended before its word.
             self.pending = change
-            self.horizon = horizon
+            self.hold_step = hold_step
             return self.tick()
         return []
 
@@ -195,7 +197,7 @@
                 self.loaded.discard(change)
             return []
         self.pending = 0
-        self.horizon = None
+        self.hold_step = None
         if change > self.decided.change:
             self.decided = decision
         if decision.committed:
@@ -208,6 +210,6 @@
         """Ask again for the decision that this rank waits for."""
         if not self.pending:
             return []
-        if self.horizon is None:
-            return [ToEngine(HoldAfter(self.pending, self.horizon_steps))]
+        if self.hold_step is None:
+            return [ToEngine(HoldAfter(self.pending, self.hold_lead_steps))]
         return [ToArbiter(Ask(self.rank, self.incarnation, self.pending))]
--- a/packages/fescuedrum/src/fescuedrum/groups/messages.py
+++ b/packages/fescuedrum/src/fescuedrum/groups/messages.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Begin:
+class DecisionRequest:
     """Ask the arbiter to arm all ranks and to decide."""
 
     change: int
@@ -121,7 +121,7 @@
     epoch: int
     change: int
     # The rank starts no step from here on without the decision; None if not armed.
-    horizon: int | None
+    hold_step: int | None
     decision: Decision | None
 
 
--- a/packages/fescuedrum/src/fescuedrum/groups/switching.py
+++ b/packages/fescuedrum/src/fescuedrum/groups/switching.py
@@ -132,12 +132,14 @@
 
     # Orders
 
-    async def give(self, rank, order):
+    async def send_order(self, rank, order):
         """Give an order until it is answered, or TRIES times."""
         for attempt in range(TRIES):
             if attempt:
                 await asyncio.sleep(RETRY_SECONDS)
-            result = await self.engines.give(self.addresses[rank], self.epoch, order)
+            result = await self.engines.send_order(
+                self.addresses[rank], self.epoch, order
+            )
             if result is not OrderResult.UNANSWERED:
                 return result
         return OrderResult.UNANSWERED
@@ -145,7 +147,9 @@
     async def give_all(self, order):
         """Give an order to all ranks; return the results by rank."""
         ranks = sorted(self.addresses)
-        results = await asyncio.gather(*(self.give(rank, order) for rank in ranks))
+        results = await asyncio.gather(
+            *(self.send_order(rank, order) for rank in ranks)
+        )
         return dict(zip(ranks, results, strict=True))
 
     # Holding
@@ -157,8 +161,8 @@
             if report is None or report.epoch != self.epoch:
                 return False
             self.step = max(report.step, self.step) + self.change.steps_ahead
-            match await self.give(HOLDING_RANK, HoldPass(self.step)):
-                case OrderResult.TAKEN:
+            match await self.send_order(HOLDING_RANK, HoldPass(self.step)):
+                case OrderResult.ACCEPTED:
                     return True
                 case OrderResult.UNANSWERED:
                     # It may hold, or will: let it go lest the group stands still.
@@ -172,8 +176,8 @@
         The group stands still until then, so this is tried for as long as it takes.
         """
         while True:
-            given = await self.give(HOLDING_RANK, ReleasePass(self.step))
-            if given is OrderResult.TAKEN:
+            given = await self.send_order(HOLDING_RANK, ReleasePass(self.step))
+            if given is OrderResult.ACCEPTED:
                 return result
             if await self.epoch_ended():
                 return SwitchResult.EPOCH_ENDED
@@ -198,7 +202,7 @@
         latest = self.loop.time() + COPY_SLACK_SECONDS
         order = ArmMap(self.change.version, self.step)
         while True:
-            result = await self.give(rank, order)
+            result = await self.send_order(rank, order)
             if result is not OrderResult.REFUSED or self.loop.time() >= latest:
                 return result
             await asyncio.sleep(ARM_SECONDS)
@@ -238,11 +242,11 @@
         """
         version = self.disarmed_version(rank)
         if version is not None:
-            disarmed = await self.give(rank, DisarmMap(version))
-            if disarmed is not OrderResult.TAKEN:
+            disarmed = await self.send_order(rank, DisarmMap(version))
+            if disarmed is not OrderResult.ACCEPTED:
                 return False
         void = PrepareMap(self.void_version, self.change.before)
-        return await self.give(rank, void) is OrderResult.TAKEN
+        return await self.send_order(rank, void) is OrderResult.ACCEPTED
 
 
 class LeftSwitch(Switch):
@@ -291,4 +295,4 @@
 
 
 def all_taken(results):
-    return all(result is OrderResult.TAKEN for result in results.values())
+    return all(result is OrderResult.ACCEPTED for result in results.values())
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from fescuedrum.conf.routing import RoutingTable
-from fescuedrum.decisions.experts.pace import PassPace
+from fescuedrum.decisions.experts.pace import PassTimer
 from fescuedrum.decisions.placement import Chosen
 from fescuedrum.wire.gen.gateways.ttypes import Beacon
 from fescuedrum_gateway.process.directory import Directory
@@ -172,9 +172,11 @@
             cold_slack=5.0,
         )
         peers = Peers(settings, number + 1)
-        paces = collections.defaultdict(PassPace)
+        pass_timers = collections.defaultdict(PassTimer)
         chance = random.Random(self.random.random())
-        directory = Directory(settings, None, self.configuration, peers, paces, chance)
+        directory = Directory(
+            settings, None, self.configuration, peers, pass_timers, chance
+        )
         directory.changed = peers.changed
         peers.describe = lambda: Beacon(
             loads=loads_of(directory.own_loads()),
--- a/tests/support/groups.py
+++ b/tests/support/groups.py
@@ -132,7 +132,7 @@
         rank = self.ranks[address[1]]
         return RankMap(self.epoch, rank.map_version, rank.held)
 
-    async def give(self, address, epoch, order):
+    async def send_order(self, address, epoch, order):
         await asyncio.sleep(self.random.uniform(0.001, 0.004))
         fate = self.random.random()
         if fate < self.late:
@@ -155,7 +155,7 @@
         if epoch != self.epoch:
             return OrderResult.REFUSED
         taken = self.apply(self.ranks[number], order)
-        return OrderResult.TAKEN if taken else OrderResult.REFUSED
+        return OrderResult.ACCEPTED if taken else OrderResult.REFUSED
 
     def apply(self, rank, order):
         match order:
--- a/tests/unit/test_expert_maps.py
+++ b/tests/unit/test_expert_maps.py
@@ -6,7 +6,7 @@
 import pytest
 
 from fescuedrum.decisions.experts import packing, placement, planner, stragglers
-from fescuedrum.decisions.experts.cost import Costs
+from fescuedrum.decisions.experts.cost import ChangeCosts
 from fescuedrum.decisions.experts.forecast import Forecaster
 from fescuedrum_bench.experiments import expert_maps
 from fescuedrum_bench.popularity import Pattern, Trace, zipf
@@ -47,11 +47,11 @@
 def test_a_new_map_uses_no_more_slots_than_there_are_and_is_even(ranks):
     topology = placement.build_topology(ranks, EXPERTS, 2)
     loads = build_loads()
-    expert_map = planner.place_all(loads, topology)
+    expert_map = planner.build_expert_map(loads, topology)
     check_whole(expert_map, topology)
     skew = placement.measure(expert_map, loads, topology)
-    assert skew.ratio <= 1.05
-    assert skew.over_ideal >= placement.lower_bound(loads, topology) - 1e-9
+    assert skew.max_to_mean <= 1.05
+    assert skew.max_to_ideal >= placement.skew_lower_bound(loads, topology) - 1e-9
 
 
 def test_slots_are_even_over_the_layers():
@@ -64,7 +64,7 @@
 def test_replicas_of_a_hot_expert_are_in_several_domains():
     topology = placement.build_topology(32, EXPERTS, 1)
     loads = build_loads(layers=1)
-    (layer_map,) = planner.place_all(loads, topology).layers
+    (layer_map,) = planner.build_expert_map(loads, topology).layers
     hottest = max(range(EXPERTS), key=loads[0].__getitem__)
     domains = {topology.domains[rank] for rank in layer_map.hosts[hottest]}
     assert len(domains) > 1
@@ -114,15 +114,17 @@
     """One accelerator runs hot; its rank is last in every step with an even share."""
     meter = stragglers.SpeedMeter(8)
     meter.observe([100.0] * 8, [1.0] * 7 + [2.0])
-    topology = placement.build_topology(8, EXPERTS, 2).with_speeds(meter.rounded())
+    topology = placement.build_topology(8, EXPERTS, 2).with_speeds(
+        meter.rounded_speeds()
+    )
     loads = build_loads()
-    even = planner.place_all(loads, placement.build_topology(8, EXPERTS, 2))
-    ours = planner.Planner(topology, Costs(), MINUTE)
+    even = planner.build_expert_map(loads, placement.build_topology(8, EXPERTS, 2))
+    ours = planner.Planner(topology, ChangeCosts(), MINUTE)
     ours.observe(loads, 0.0)
     plan = ours.plan(even, 0.0)
     check_whole(plan.expert_map, topology)
-    assert placement.measure(even, loads, topology).ratio > 1.5
-    assert placement.measure(plan.expert_map, loads, topology).ratio <= 1.05
+    assert placement.measure(even, loads, topology).max_to_mean > 1.5
+    assert placement.measure(plan.expert_map, loads, topology).max_to_mean <= 1.05
 
 
 def test_a_stalled_rank_is_planned_away_whatever_it_costs():
@@ -131,12 +133,12 @@
     meter.observe([100.0] * 8, [1.0] * 7 + [None])
     whole = placement.build_topology(8, EXPERTS, 2)
     loads = build_loads()
-    current = planner.place_all(loads, whole)
-    ours = planner.Planner(whole, Costs(store_rate=1.0), MINUTE)
+    current = planner.build_expert_map(loads, whole)
+    ours = planner.Planner(whole, ChangeCosts(store_bytes_per_second=1.0), MINUTE)
     ours.observe(loads, 0.0)
-    ours.set_speeds(meter.rounded())
+    ours.set_speeds(meter.rounded_speeds())
     plan = ours.plan(current, 0.0)
-    assert plan.kind is planner.Kind.RESTORE
+    assert plan.kind is planner.ChangeType.RESTORE
     check_whole(plan.expert_map, ours.topology)
     assert all(held[7] == 0 for held in held_experts(plan.expert_map, whole))
 
@@ -144,9 +146,9 @@
 def test_a_move_that_costs_more_than_it_saves_is_not_made():
     topology = placement.build_topology(8, EXPERTS, 2)
     loads = build_loads()
-    current = planner.place_all(build_loads(seed=9), topology)
-    dear = Costs(store_rate=Costs().expert_bytes / 3600)
-    for costs, moves in ((Costs(), True), (dear, False)):
+    current = planner.build_expert_map(build_loads(seed=9), topology)
+    dear = ChangeCosts(store_bytes_per_second=ChangeCosts().expert_bytes / 3600)
+    for costs, moves in ((ChangeCosts(), True), (dear, False)):
         ours = planner.Planner(topology, costs, MINUTE)
         ours.observe(loads, 0.0)
         plan = ours.plan(current, 0.0)
@@ -175,12 +177,12 @@
     topology = placement.build_topology(256, EXPERTS, 1)
     trace = Trace(Pattern.NOON, 256, EXPERTS, 1, random.Random(1))
     before, after = trace.loads(0.0, shifted=False), trace.loads(0.0, shifted=True)
-    current = planner.place_all(before, topology)
-    ours = planner.Planner(topology, Costs(), MINUTE)
+    current = planner.build_expert_map(before, topology)
+    ours = planner.Planner(topology, ChangeCosts(), MINUTE)
     ours.observe(before, 0.0)
     ours.observe(after, MINUTE)
     plan = ours.plan(current, MINUTE)
     check_whole(plan.expert_map, topology)
-    assert placement.measure(current, after, topology).ratio > 5
-    assert placement.measure(plan.expert_map, after, topology).ratio <= 1.1
+    assert placement.measure(current, after, topology).max_to_mean > 5
+    assert placement.measure(plan.expert_map, after, topology).max_to_mean <= 1.1
     assert plan.balance.fetched < sum(topology.slots[0]) / 2
--- a/tests/unit/test_group_changes.py
+++ b/tests/unit/test_group_changes.py
@@ -5,8 +5,8 @@
 import pytest
 
 from fescuedrum.groups.arbiter import Arbiter
-from fescuedrum.groups.holder import Holder, Phase
-from fescuedrum.groups.member import EngineState, Member
+from fescuedrum.groups.holder import Holder, HolderPhase
+from fescuedrum.groups.member import EngineState, Participant
 from fescuedrum.groups.messages import (
     Arm,
     Armed,
@@ -77,7 +77,7 @@
     dropped the new weights before the order to switch came.
     """
     engine = EngineState(0, 0, loaded=frozenset({5}))
-    member = Member(1, 1, engine)
+    member = Participant(1, 1, engine)
     member.handle(Arm(1, 5, None))
     member.held(5, 17)
     member.handle(Decision(1, 5, True, 17, 1))
@@ -86,17 +86,17 @@
 
 def test_a_rank_under_another_map_does_not_arm():
     """A holder plans from a map that a change has replaced without its knowledge."""
-    member = Member(1, 1, EngineState(7, 3, loaded=frozenset({7, 9})))
+    member = Participant(1, 1, EngineState(7, 3, loaded=frozenset({7, 9})))
     member.handle(Load(9, 1, base=5))
     (answer,) = member.handle(Arm(1, 9, None))
-    assert answer.message.horizon is None
+    assert answer.message.hold_step is None
 
 
 class LowestHorizon(Arbiter):
     """Switch at the lowest horizon, which a faster rank has passed."""
 
     def settle(self, now):
-        horizons = [each.horizon for each in self.round.answers.values()]
+        horizons = [each.hold_step for each in self.round.answers.values()]
         if None in horizons:
             return self.conclude(False, 0, now)
         return self.conclude(True, min(horizons), now)
@@ -123,7 +123,7 @@
     """Decide afresh although a rank knows the decision."""
 
     def settle(self, now):
-        horizons = [each.horizon or 0 for each in self.round.answers.values()]
+        horizons = [each.hold_step or 0 for each in self.round.answers.values()]
         return self.conclude(True, max(horizons), now)
 
 
@@ -150,14 +150,14 @@
         return effects
 
 
-class TakesOldEpochs(Member):
+class TakesOldEpochs(Participant):
     """Take a decision of an earlier arbiter after a promise to a later one."""
 
     def decide(self, decision):
         return self.settle(decision)
 
 
-class ArmsUnloaded(Member):
+class ArmsUnloaded(Participant):
     """Arm for a map whose weights are not there."""
 
     def answer(self, change):
@@ -165,39 +165,39 @@
         return super().answer(change)
 
 
-class GivesUpWaiting(Member):
+class GivesUpWaiting(Participant):
     """Go on past the horizon when no decision has come."""
 
     def tick(self):
         if self.pending:
             change, self.pending = self.pending, 0
-            return [ToEngine(SwitchAt(change, self.horizon or 0))]
+            return [ToEngine(SwitchAt(change, self.hold_step or 0))]
         return []
 
 
-class ForgetsHold(Member):
+class ForgetsHold(Participant):
     """Start anew without asking the engine what it waits for."""
 
     def __init__(self, rank, incarnation, engine, **options):
         forgotten = dataclasses.replace(engine, held=0)
         super().__init__(rank, incarnation, forgotten, **options)
 
-    def held(self, change, horizon):
-        return super().held(change, horizon) if change == self.pending else []
+    def held(self, change, hold_step):
+        return super().held(change, hold_step) if change == self.pending else []
 
 
-class AnswersBeforeHold(Member):
+class AnswersBeforeHold(Participant):
     """Answer with a horizon before the engine has agreed to stop there."""
 
     def answer(self, change):
         effects = super().answer(change)
-        if self.pending == change and self.horizon is None:
-            self.horizon = 1
+        if self.pending == change and self.hold_step is None:
+            self.hold_step = 1
             effects.append(self.armed_answer(change, 1, None))
         return effects
 
 
-class SwitchesAtOnce(Member):
+class SwitchesAtOnce(Participant):
     """Use the new map from the next step on, whatever the decision says."""
 
     def settle(self, decision):
@@ -232,17 +232,17 @@
 
 def test_a_woken_holder_is_refused():
     """A paused entry wakes and orders every rank to fetch weights for an old plan."""
-    member = Member(0, 1, EngineState(0, 0))
+    member = Participant(0, 1, EngineState(0, 0))
     member.handle(Load(2 << 20, 2, 0))
     assert member.handle(Load(1 << 20, 1, 0)) == [ToHolder(Refused(2))]
     arbiter_floor = Holder([0, 1], 1)
     arbiter_floor.handle(Refused(2))
-    assert arbiter_floor.phase is Phase.DEPOSED
+    assert arbiter_floor.phase is HolderPhase.DEPOSED
 
 
 def test_no_message_is_sent_while_no_change_is_under_way():
     """Stepping must cost nothing: neither ranks nor arbiter talk without a change."""
-    members = [Member(rank, 1, EngineState(0, 0)) for rank in range(3)]
+    members = [Participant(rank, 1, EngineState(0, 0)) for rank in range(3)]
     arbiter = Arbiter(range(3), 1)
     arbiter.start()
     for member in members:
@@ -253,7 +253,7 @@
 
 
 def test_an_armed_rank_repeats_its_first_horizon():
-    member = Member(1, 1, EngineState(0, 0, loaded=frozenset({5})))
+    member = Participant(1, 1, EngineState(0, 0, loaded=frozenset({5})))
     member.handle(Arm(1, 5, None))
     (first,) = member.held(5, 17)
     (again,) = member.handle(Arm(1, 5, None))
--- a/tests/unit/test_group_keeper.py
+++ b/tests/unit/test_group_keeper.py
@@ -9,7 +9,7 @@
 
 from fescuedrum.conf.routing import EngineProfile, ExpertProfile, RoutedService
 from fescuedrum.decisions.experts import even
-from fescuedrum.decisions.experts.pace import PassPace
+from fescuedrum.decisions.experts.pace import PassTimer
 from fescuedrum.decisions.presence import EndpointPresence
 from fescuedrum.groups.engines import HoldPass, PrepareMap
 from fescuedrum.groups.switching import MapChange, Switch, SwitchResult
@@ -42,7 +42,7 @@
     for rank in range(RANKS):
         presences.listed(build_endpoint(f"e-{rank}", host="engine", port=rank))
     return build_keeper(
-        service, group, presences, PassPace(), GatewayMetrics(), random.Random(1)
+        service, group, presences, PassTimer(), GatewayMetrics(), random.Random(1)
     )
 
 
--- a/tests/unit/test_pass_pace.py
+++ b/tests/unit/test_pass_pace.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from fescuedrum.decisions.experts.pace import PassPace
+from fescuedrum.decisions.experts.pace import PassTimer
 
 PASS_SECONDS = 0.044
 STREAMS = 3
@@ -39,7 +39,7 @@
 
     The move was seen only in two reads of counts, half a second apart.
     """
-    pace = PassPace()
+    pace = PassTimer()
     assert play(pace, 3.0, usual) is None
     noticed = play(pace, 3.0, slowed, start=3.0)
     assert noticed - 3.0 < 0.3
@@ -47,11 +47,11 @@
 
 @pytest.mark.parametrize("streams", [1, 2, 8])
 def test_prompts_that_are_read_are_no_slowdown(streams):
-    assert play(PassPace(), 60.0, usual, streams=streams) is None
+    assert play(PassTimer(), 60.0, usual, streams=streams) is None
 
 
 def test_a_steady_rise_of_load_is_no_slowdown():
-    pace = PassPace()
+    pace = PassTimer()
     play(pace, 2.0, usual)
     for step in range(40):
         length = PASS_SECONDS * (1 + step / 40)
@@ -60,7 +60,7 @@
 
 
 def test_nothing_is_known_from_too_few_events():
-    pace = PassPace()
+    pace = PassTimer()
     for number in range(4):
         pace.observe(0.044, number / 10)
     assert not pace.is_known(0.4)
@@ -72,7 +72,7 @@
 
     Its passes are longer than the window, so that one long pass filled it.
     """
-    pace = PassPace()
+    pace = PassTimer()
     for number in range(20):
         pace.observe(0.2, number * 0.2)
     pace.observe(0.3, 4.1)
@@ -85,7 +85,7 @@
     Orders were lost, the change took a second, and demand moved again meanwhile. All
     passes in sight were slow, and so the next ones seemed as long as ever.
     """
-    pace = PassPace()
+    pace = PassTimer()
     play(pace, 3.0, usual)
     assert play(pace, 1.0, slowed, start=3.0) is not None
     # The new map has come in force, and passes stay as they were.
@@ -95,7 +95,7 @@
 
 
 def test_passes_of_the_map_that_goes_are_not_judged():
-    pace = PassPace()
+    pace = PassTimer()
     play(pace, 3.0, usual)
     pace.map_changed(until=4.0)
     assert play(pace, 0.9, slowed, start=3.0) is None
@@ -107,7 +107,7 @@
 
     Load has doubled at once; the map suits the demand, and nothing can be gained.
     """
-    pace = PassPace()
+    pace = PassTimer()
     play(pace, 3.0, usual)
     noticed = play(pace, 1.0, slowed, start=3.0)
     # The counts are read twice until it is known that the map suits the demand.
@@ -119,7 +119,7 @@
 
 def test_shorter_passes_are_the_usual_ones_within_a_second():
     """A move goes unnoticed: it came a second after a change had made passes short."""
-    pace = PassPace()
+    pace = PassTimer()
     play(pace, 3.0, lambda chance: 2 * usual(chance))
     play(pace, 1.0, usual, start=3.0)
     assert play(pace, 1.0, slowed, start=4.0) is not None
--- a/tests/unit/test_switching.py
+++ b/tests/unit/test_switching.py
@@ -121,14 +121,14 @@
     """
 
     async def story(group):
-        give = group.give
+        give = group.send_order
 
         async def lose_arming(address, epoch, order):
             if isinstance(order, ArmMap) and address[1] == 3:
                 return OrderResult.UNANSWERED
             return await give(address, epoch, order)
 
-        group.give = lose_arming
+        group.send_order = lose_arming
         switch = Switch(group, group.addresses, 1, build_change())
         assert await switch.run() is SwitchResult.ABANDONED
         late = ArmMap(1000, group.step + 1)
@@ -146,13 +146,13 @@
     """
 
     async def story(group):
-        give = group.give
+        give = group.send_order
 
         async def lose_answer(address, epoch, order):
             result = await give(address, epoch, order)
             return OrderResult.UNANSWERED if isinstance(order, HoldPass) else result
 
-        group.give = lose_answer
+        group.send_order = lose_answer
         switch = Switch(group, group.addresses, 1, build_change())
         assert await switch.run() is SwitchResult.ABANDONED
 
@@ -183,7 +183,7 @@
     """
 
     async def story(group):
-        give = group.give
+        give = group.send_order
         loop = asyncio.get_running_loop()
         cut_until = loop.time() + 4.0
         late = []
@@ -199,7 +199,7 @@
                 return OrderResult.UNANSWERED
             return await give(address, epoch, order)
 
-        group.give = give_faultily
+        group.send_order = give_faultily
         switch = Switch(group, group.addresses, 1, build_change())
         assert await switch.run() is SwitchResult.ABANDONED
         assert late[0].done()
@@ -236,7 +236,7 @@
     given = []
 
     async def story(group):
-        give = group.give
+        give = group.send_order
 
         async def count(address, epoch, order):
             given.append(order)
@@ -244,7 +244,7 @@
                 group.restart()
             return await give(address, epoch, order)
 
-        group.give = count
+        group.send_order = count
         switch = Switch(group, group.addresses, 1, build_change())
         running = asyncio.create_task(switch.run())
         await asyncio.sleep(0.05)
