--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/directory.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/directory.py
@@ -47,7 +47,7 @@
 logger = logging.getLogger(__name__)
 
 
-class Occupation:
+class Reservation:
     """Charge an endpoint with one request until it is released."""
 
     __slots__ = ("directory", "load", "tokens", "zone")
@@ -60,25 +60,25 @@
         self.tokens = tokens
         load.requests += 1
         load.unread_tokens += tokens
-        directory.changed(zone)
+        directory.announce_change(zone)
 
-    def prompt_read(self):
+    def mark_prompt_read(self):
         """Take the prompt's tokens off: the endpoint writes now."""
         self.load.unread_tokens -= self.tokens
         self.tokens = 0
 
     def release(self):
-        self.prompt_read()
+        self.mark_prompt_read()
         self.load.requests -= 1
-        self.directory.changed(self.zone)
+        self.directory.announce_change(self.zone)
 
 
-class Directory:
+class EndpointDirectory:
     """Hold the endpoints of all services and choose among them."""
 
     __slots__ = (
         "adapter",
-        "changed",
+        "announce_change",
         "configuration",
         "histories",
         "loop",
@@ -109,7 +109,7 @@
         self.rate_limits = RateLimits()
         self.zones_out = {}
         # Called with the zone of an endpoint at which the own load changes.
-        self.changed = lambda zone: None
+        self.announce_change = lambda zone: None
 
     # What the platform tells
 
@@ -174,14 +174,14 @@
 
     # Rate limits
 
-    def take_rate(self, endpoint: ListedEndpoint, rate: Rate) -> None:
+    def record_rate(self, endpoint: ListedEndpoint, rate: Rate) -> None:
         """Take what an endpoint's own answer says of its rate."""
         if isinstance(rate, NotUnderstood):
             log_event(logger, EndpointRateNotUnderstood(endpoint.name, rate.text))
         if self.rate_limits.observe(endpoint.name, rate, self.loop.time()):
             self.tell_rate(endpoint.name, rate, "")
 
-    def take_rate_reports(
+    def merge_rate_reports(
         self, host: str, reports: list[tuple[str, RateReport]]
     ) -> None:
         """Take what another gateway was told of endpoints' rates."""
@@ -200,7 +200,7 @@
 
     # Choosing
 
-    def choose_endpoint(self, service, tried, returned):
+    def choose_endpoint(self, service, tried, is_caller_retry):
         """Return Chosen or Refused for a request, never what was tried before."""
         self.expire()
         zones_out = set(self.zones_out.values())
@@ -211,7 +211,10 @@
         if not fresh and tried:
             return Refused(RefusalCause.NONE_LISTED)
         loads = self.peers.loads()
-        now, limits = self.loop.time(), self.limits(service, returned, len(usable))
+        now, limits = (
+            self.loop.time(),
+            self.limits(service, is_caller_retry, len(usable)),
+        )
         mesh = [each for each in fresh if self.is_in_mesh(each)]
         if len(mesh) < len(fresh):
             # Most requests end here: a large fleet's endpoints are not all looked at.
@@ -234,7 +237,7 @@
         same_zone = endpoint.zone == self.settings.zone
         return Option(endpoint, load, history, same_zone, self.is_in_mesh(endpoint))
 
-    def limits(self, service, returned, endpoints):
+    def limits(self, service, is_caller_retry, endpoints):
         described = self.configuration.table.services.get(service)
         if described is None:
             return PlacementLimits()
@@ -245,7 +248,7 @@
             request_limit=lambda endpoint: request_limit(
                 endpoint.slots,
                 is_engine=is_engine,
-                returned=returned,
+                is_caller_retry=is_caller_retry,
                 strain=strain,
                 ranks=endpoints,
             ),
@@ -283,11 +286,11 @@
     def history(self, endpoint):
         return self.histories[endpoint.name]
 
-    def occupy(self, endpoint, tokens):
+    def reserve(self, endpoint, tokens):
         """Charge an endpoint with a request that is about to be sent."""
         history = self.histories[endpoint.name]
         history.sent(self.loop.time())
-        return Occupation(self, endpoint.zone, history.own, tokens)
+        return Reservation(self, endpoint.zone, history.own, tokens)
 
     def own_loads(self):
         """Return (name, load) of each endpoint at which this process has requests."""
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/duty.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/duty.py
@@ -46,7 +46,7 @@
             await asyncio.sleep(WATCH_SECONDS)
 
     def judge_lead(self):
-        leads = self.gateway.ready and self.gateway.peers.is_first()
+        leads = self.gateway.ready and self.gateway.peers.is_leader()
         if leads != self.leads:
             self.leads = leads
             log_event(logger, events.GroupDutyChanged(leads))
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/followers.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/followers.py
@@ -43,11 +43,10 @@
 COMPRESSED_BYTES = 4096
 
 
-class Follower:
+class TableFollower:
     """Own the copy of one table; take(rows) is called with rows that are new."""
 
     __slots__ = (
-        "answers",
         "confirmed_at",
         "loop",
         "name",
@@ -58,6 +57,7 @@
         "session",
         "settings",
         "store",
+        "store_answers",
         "store_changed",
         "take",
     )
@@ -72,7 +72,7 @@
         self.random = random
         self.loop = asyncio.get_running_loop()
         # Whether the store's last call was answered; None while others follow it.
-        self.answers = None
+        self.store_answers = None
         # When the store, or a gateway that it answers, last told what the copy has.
         self.confirmed_at = None
         self.pulling = None
@@ -125,14 +125,14 @@
 
     def rest(self):
         """Leave the store to others."""
-        if self.answers is not None:
+        if self.store_answers is not None:
             log_event(logger, events.StoreLeftToOthers(self.name))
-            self.answers = None
+            self.store_answers = None
 
     def note_answers(self, answers, detail=""):
-        if answers == self.answers:
+        if answers == self.store_answers:
             return
-        self.answers = answers
+        self.store_answers = answers
         if answers:
             log_event(logger, events.StoreAnswers(self.name))
         else:
@@ -176,7 +176,7 @@
     async def pull(self):
         try:
             await asyncio.sleep(self.pause_before_pull())
-            ahead = self.peers.ahead_of(self.name, self.replica.version)
+            ahead = self.peers.peers_ahead_of(self.name, self.replica.version)
             # Those of the own zone are nearer, and most of its gateways learn what is
             # new from each other.
             self.random.shuffle(ahead)
@@ -194,9 +194,9 @@
         at the same moment. A hundred of them share its link, and none has the change
         before it gives up; a little later several have it to give.
         """
-        if self.answers:
+        if self.store_answers:
             return PEER_GRACE_SECONDS
-        spread = self.peers.count_entries() * SPREAD_SECONDS_PER_GATEWAY
+        spread = self.peers.count_sharing_gateways() * SPREAD_SECONDS_PER_GATEWAY
         return self.random.uniform(0.0, spread)
 
     async def pull_from(self, peer):
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/gateway.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/gateway.py
@@ -32,16 +32,16 @@
 from fescuedrum_gateway.connection.callers import build_server
 from fescuedrum_gateway.connection.endpoints import open_endpoint_session, open_socket
 from fescuedrum_gateway.process import followers
-from fescuedrum_gateway.process.directory import Directory
+from fescuedrum_gateway.process.directory import EndpointDirectory
 from fescuedrum_gateway.process.duty import GroupSupervisor
-from fescuedrum_gateway.process.followers import Follower
+from fescuedrum_gateway.process.followers import TableFollower
 from fescuedrum_gateway.process.metrics import GatewayMetrics
 from fescuedrum_gateway.process.peers import (
     ENDPOINTS,
     OPERATORS,
     Peers,
-    limits_of,
-    loads_of,
+    encode_limits,
+    encode_loads,
 )
 from fescuedrum_gateway.request.handler import RequestHandler
 from fescuedrum_gateway.version.configuration import RoutingConfiguration
@@ -91,10 +91,10 @@
         self.random = random.Random(incarnation)
         self.configuration = RoutingConfiguration()
         self.peers = Peers(settings, incarnation)
-        self.peers.describe = self.describe
+        self.peers.build_beacon = self.build_beacon
         # Length of passes by name of service, as the own streams show it.
         self.pass_timers = collections.defaultdict(PassTimer)
-        self.directory = Directory(
+        self.directory = EndpointDirectory(
             settings,
             adapter,
             self.configuration,
@@ -102,7 +102,7 @@
             self.pass_timers,
             self.random,
         )
-        self.directory.changed = self.peers.changed
+        self.directory.announce_change = self.peers.announce_change
         self.patience = collections.defaultdict(PatienceTracker)
         self.retries = collections.defaultdict(self.build_retries)
         self.followers = []
@@ -162,7 +162,7 @@
             (ENDPOINTS, self.adapter.endpoints_table, self.take_endpoint_rows),
         )
         for name, table, take in tables:
-            follower = Follower(
+            follower = TableFollower(
                 name,
                 Replica(table),
                 self.store,
@@ -174,7 +174,7 @@
             follower.take = take
             follower.store_changed = self.judge_store
             self.followers.append(follower)
-        self.peers.heard = self.peer_heard
+        self.peers.on_beacon = self.peer_heard
 
     async def listen(self):
         """Open the ports for callers, the balancer and peers."""
@@ -216,7 +216,10 @@
 
     def retries_left(self):
         """Return the repeats left to the service that has the fewest; -1 for none."""
-        now, entries = asyncio.get_running_loop().time(), self.peers.count_entries()
+        now, entries = (
+            asyncio.get_running_loop().time(),
+            self.peers.count_sharing_gateways(),
+        )
         left = [budget.left(now, entries) for budget in self.retries.values()]
         return min(left, default=-1.0)
 
@@ -233,7 +236,7 @@
                 said = self.adapter.read_operators_row(row)
                 if isinstance(said, RoutingDocument):
                     now = asyncio.get_running_loop().time()
-                    self.configuration.offer(RoutingTable(said), now)
+                    self.configuration.update_if_newer(RoutingTable(said), now)
                     return
             self.directory.take_zone(row)
         except RowNotUnderstood as error:
@@ -252,14 +255,14 @@
         send a beacon from every gateway to every other.
         """
         if self.store_answers:
-            self.peers.tell_now()
+            self.peers.broadcast_now()
         else:
-            self.peers.changed()
+            self.peers.announce_change()
 
     @property
     def store_answers(self):
         """Tell whether the store answers this gateway; False while it rests."""
-        return any(each.answers for each in self.followers)
+        return any(each.store_answers for each in self.followers)
 
     def judge_store(self):
         """Tell the directory whether the store is away for all gateways heard."""
@@ -271,13 +274,13 @@
 
     def peer_heard(self, peer):
         if peer.rate_reports:
-            self.directory.take_rate_reports(peer.host, peer.rate_reports)
+            self.directory.merge_rate_reports(peer.host, peer.rate_reports)
         if self.directory.presences.store_unreachable and peer.store_answers:
             self.judge_store()
         for follower in self.followers:
             follower.peer_heard(peer)
 
-    def describe(self):
+    def build_beacon(self):
         """Return a beacon of what this process knows and has at the endpoints."""
         now = asyncio.get_running_loop().time()
         operators, endpoints = (each.replica.version for each in self.followers)
@@ -286,8 +289,8 @@
             store_answers=self.store_answers,
             operators_version=operators,
             endpoints_version=endpoints,
-            loads=loads_of(self.directory.own_loads()),
-            limits=limits_of(self.directory.rate_limits, now) or None,
+            loads=encode_loads(self.directory.own_loads()),
+            limits=encode_limits(self.directory.rate_limits, now) or None,
         )
 
     def reload(self):
@@ -329,7 +332,7 @@
         """Turn readiness down and let running requests end."""
         loop = asyncio.get_running_loop()
         plan = self.stop_plan = StopPlan(loop.time(), self.settings.stop_seconds)
-        self.peers.tell_now()
+        self.peers.broadcast_now()
         self.callers.leave(plan.latest)
         log_event(logger, GatewayDraining(self.running, len(self.callers.connections)))
         await serving.let_run(plan, self.callers, lambda: self.running)
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/metrics.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/metrics.py
@@ -102,7 +102,7 @@
             (
                 "gateways_sharing",
                 "Gateways that share the common bounds, this one included.",
-                lambda: gateway.peers.count_entries(),
+                lambda: gateway.peers.count_sharing_gateways(),
             ),
             (
                 "store_answers",
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/peers.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/peers.py
@@ -39,11 +39,11 @@
 # A gateway is silent when this many beacons did not come.
 MISSED_BEACONS = 2.5
 # Loads of a gateway that was silent for so long no longer hold.
-LOAD_SECONDS = 1.5
+LOAD_EXPIRY_SECONDS = 1.5
 # A gateway silent for so long no longer leads: two beacons did not come.
 LEAD_SECONDS = 1.0
 # A gateway silent for so long is asked less often, and no longer shares the budgets.
-FORGOTTEN_SECONDS = 60.0
+PEER_EXPIRY_SECONDS = 60.0
 # How often hosts that never answered are asked.
 PROBE_SECONDS = 2.0
 # A datagram with so many addresses still fits one packet.
@@ -59,7 +59,7 @@
     zone: str = ""
     # When its address was learned.
     known_at: float = float("-inf")
-    heard_at: float = float("-inf")
+    last_heard_at: float = float("-inf")
     probed_at: float = float("-inf")
     incarnation: int = 0
     sequence: int = -1
@@ -76,14 +76,14 @@
     """Own the socket for datagrams and what other gateways said."""
 
     __slots__ = (
-        "describe",
+        "build_beacon",
         "due_zones",
-        "heard",
         "hosts",
         "in_zone",
         "incarnation",
         "is_one_mesh",
         "loop",
+        "on_beacon",
         "pace",
         "pending",
         "sequence",
@@ -110,9 +110,9 @@
         # Zones whose gateways are still to be told of a change, and the timer for it.
         self.due_zones = set()
         self.pending = None
-        # describe() fills a beacon; heard(peer) is told of each one that came.
-        self.describe = lambda: Beacon()
-        self.heard = lambda peer: None
+        # build_beacon() fills a beacon; on_beacon(peer) is told of each one that came.
+        self.build_beacon = lambda: Beacon()
+        self.on_beacon = lambda peer: None
 
     async def open(self):
         """Bind the socket for datagrams."""
@@ -175,14 +175,14 @@
 
         def is_heard(peer: PeerGateway) -> bool:
             since = mesh_since if self.is_in_mesh(peer) else others_since
-            return peer.heard_at >= since
+            return peer.last_heard_at >= since
 
         return is_heard
 
     def heard_within(self, seconds: float) -> list[PeerGateway]:
         return list(filter(self.hearing(seconds), self.hosts.values()))
 
-    def count_entries(self) -> int:
+    def count_sharing_gateways(self) -> int:
         """Return how many gateways may share a bound, this one included."""
         return 1 + len(self.sharing_zones())
 
@@ -193,16 +193,16 @@
         do those of which this one has only been told, as it has just started, and those
         that leave, as long as they run.
         """
-        since = self.loop.time() - FORGOTTEN_SECONDS
-        is_heard = self.hearing(LOAD_SECONDS)
+        since = self.loop.time() - PEER_EXPIRY_SECONDS
+        is_heard = self.hearing(LOAD_EXPIRY_SECONDS)
         return {
             each.host: each.zone
             for each in self.hosts.values()
-            if max(each.heard_at, each.known_at) >= since
+            if max(each.last_heard_at, each.known_at) >= since
             and not (each.leaving and not is_heard(each))
         }
 
-    def is_first(self):
+    def is_leader(self):
         """Tell whether this gateway is the first of those that are heard and stay."""
         own = leading.Candidate(self.settings.host, self.settings.link_megabits)
         others = (
@@ -210,33 +210,35 @@
             for each in self.heard_within(LEAD_SECONDS)
             if not each.leaving
         )
-        return leading.is_first(own, others)
+        return leading.is_leader(own, others)
 
     def loads(self):
         """Sum up what the other gateways have at each endpoint, by its name."""
         totals = collections.defaultdict(Load)
-        for peer in self.heard_within(LOAD_SECONDS):
+        for peer in self.heard_within(LOAD_EXPIRY_SECONDS):
             for endpoint, load in peer.loads.items():
                 totals[endpoint].requests += load.requests
                 totals[endpoint].unread_tokens += load.unread_tokens
         return totals
 
     def store_answers_elsewhere(self):
-        return any(each.store_answers for each in self.heard_within(LOAD_SECONDS))
+        return any(
+            each.store_answers for each in self.heard_within(LOAD_EXPIRY_SECONDS)
+        )
 
     def must_follow_store(self):
         """Tell whether too few others follow the store for this gateway to rest."""
-        heard = self.heard_within(LOAD_SECONDS)
+        heard = self.heard_within(LOAD_EXPIRY_SECONDS)
         answered = (
             each.host for each in heard if each.store_answers and not each.leaving
         )
         return must_read_store(self.settings.host, answered)
 
-    def ahead_of(self, table, version):
+    def peers_ahead_of(self, table, version):
         """Return the gateways whose copy of a table is newer than version."""
         return [
             each
-            for each in self.heard_within(LOAD_SECONDS)
+            for each in self.heard_within(LOAD_EXPIRY_SECONDS)
             if each.versions.get(table, -1) > version
         ]
 
@@ -256,7 +258,7 @@
             )
             await asyncio.sleep(max(due - self.loop.time(), CHANGE_SECONDS))
 
-    def changed(self, zone: str = "") -> None:
+    def announce_change(self, zone: str = "") -> None:
         """Tell the gateways of a zone soon of a change at its endpoints.
 
         It goes out together with what else changes till then. Where there is only one
@@ -269,7 +271,7 @@
         due = max(self.pace.due(now), now + CHANGE_SECONDS)
         self.pending = self.loop.call_at(due, self.tell_due)
 
-    def tell_now(self):
+    def broadcast_now(self):
         """Send at once what has changed, whatever the pace.
 
         For what is seldom and can't wait: a table that most others learn from here, as
@@ -312,7 +314,7 @@
         The others are asked now and then, as they may be back.
         """
         payload = self.build(wants_answer=False, tells_hosts=False)
-        is_heard = self.hearing(LOAD_SECONDS)
+        is_heard = self.hearing(LOAD_EXPIRY_SECONDS)
         now, told = self.loop.time(), 0
         for peer in peers:
             if is_heard(peer):
@@ -330,7 +332,7 @@
         self.transport.sendto(payload, (peer.host, self.settings.peer_port))
 
     def build(self, *, wants_answer: bool, tells_hosts: bool) -> bytes:
-        beacon = self.describe()
+        beacon = self.build_beacon()
         self.sequence += 1
         beacon.instance = self.settings.name
         beacon.incarnation = self.incarnation
@@ -339,7 +341,7 @@
         beacon.link_megabits = self.settings.link_megabits
         beacon.wants_answer = wants_answer or None
         if tells_hosts:
-            known = self.heard_within(FORGOTTEN_SECONDS)
+            known = self.heard_within(PEER_EXPIRY_SECONDS)
             beacon.known_hosts = [each.host for each in known][:MAXIMUM_KNOWN_HOSTS]
         return encode(beacon)
 
@@ -366,10 +368,10 @@
         if same_life and (beacon.sequence or 0) <= peer.sequence:
             # Datagrams overtake each other; an older one would bring old loads back.
             return
-        if not self.is_heard(peer, LOAD_SECONDS):
+        if not self.is_heard(peer, LOAD_EXPIRY_SECONDS):
             log_event(logger, GatewayHeard(beacon.instance, peer.host))
         self.note_zone(peer, beacon.zone or "")
-        peer.heard_at = self.loop.time()
+        peer.last_heard_at = self.loop.time()
         peer.incarnation = beacon.incarnation
         peer.sequence = beacon.sequence or 0
         peer.leaving = bool(beacon.leaving)
@@ -379,9 +381,9 @@
             each.endpoint: Load(each.requests or 0, each.unread_tokens or 0)
             for each in beacon.loads or ()
         }
-        peer.rate_reports = read_limits(beacon.limits or (), self.loop.time())
+        peer.rate_reports = decode_limits(beacon.limits or (), self.loop.time())
         self.take_versions(peer, beacon)
-        self.heard(peer)
+        self.on_beacon(peer)
 
     def note_zone(self, peer: PeerGateway, zone: str) -> None:
         """Take note of a gateway's zone; an address may come back in another."""
@@ -399,7 +401,7 @@
         }
 
 
-def loads_of(pairs):
+def encode_loads(pairs):
     """Return own loads as they go into a beacon."""
     return [
         EndpointLoad(
@@ -411,7 +413,7 @@
     ]
 
 
-def limits_of(rate_limits: RateLimits, now: float) -> list[EndpointLimit]:
+def encode_limits(rate_limits: RateLimits, now: float) -> list[EndpointLimit]:
     """Return what endpoints told of their rates as it goes into a beacon."""
     limits = []
     for endpoint, report in rate_limits.reports(now):
@@ -422,7 +424,7 @@
     return limits
 
 
-def read_limits(
+def decode_limits(
     limits: Iterable[EndpointLimit], now: float
 ) -> list[tuple[str, RateReport]]:
     """Return what a beacon tells of endpoints' rates, without what can't be true."""
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/admission.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/admission.py
@@ -75,12 +75,12 @@
     return arrived + min(patience, route.timeout)
 
 
-def rank_call(route, organisation, *, returned):
+def rank_call(route, organisation, *, is_caller_retry):
     """Return how urgent a call is, 0 being first; callers who come back go behind."""
     priority = route.priority
     if organisation is not None and organisation.priority is not None:
         priority = organisation.priority
-    return priority + RETRY_RANK_PENALTY if returned else priority
+    return priority + RETRY_RANK_PENALTY if is_caller_retry else priority
 
 
 def refuse_at_stop():
@@ -106,14 +106,14 @@
     body = await read_body_within(gateway, left, http_request, limit)
     if asyncio.get_running_loop().time() >= end:
         raise DeadlinePassed("The caller's time was over before it was read.")
-    returned = not gateway.patience[route.name].is_fresh(head.patience)
+    is_caller_retry = not gateway.patience[route.name].is_fresh(head.patience)
     return Call(
         head=head,
         route=route,
         service=choose_service(route, gateway.random),
         organisation=organisation.name if organisation else "",
-        priority=rank_call(route, organisation, returned=returned),
-        returned=returned,
+        priority=rank_call(route, organisation, is_caller_retry=is_caller_retry),
+        is_caller_retry=is_caller_retry,
         method=http_request.method,
         target=http_request.raw_path,
         body=body,
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/attempts.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/attempts.py
@@ -37,8 +37,8 @@
         "call",
         "gateway",
         "loop",
-        "occupation",
         "ran",
+        "reservation",
         "sent",
         "tried",
     )
@@ -55,7 +55,7 @@
         self.ran = None
         self.tried = set()
         # What the endpoint of the newest sending is charged with.
-        self.occupation = None
+        self.reservation = None
 
     async def send_until_settled(self, send_once, is_open):
         """Send as often as is allowed; return the result that tells most.
@@ -84,7 +84,7 @@
         """Return an endpoint; raise Overloaded or Unavailable."""
         call = self.call
         placed = self.gateway.directory.choose_endpoint(
-            call.service, self.tried, call.returned
+            call.service, self.tried, call.is_caller_retry
         )
         match placed:
             case Chosen(endpoint, load):
@@ -136,7 +136,7 @@
         )
         self.release()
         self.tried.add(endpoint.name)
-        self.occupation = self.gateway.directory.occupy(
+        self.reservation = self.gateway.directory.reserve(
             endpoint, call.head.prompt_tokens
         )
         opened = await open_answer(
@@ -156,13 +156,13 @@
         """Note that the endpoint has read the prompt."""
         seconds = self.loop.time() - self.call.arrived
         self.gateway.metrics.first_event.labels(self.call.service).observe(seconds)
-        self.occupation.prompt_read()
+        self.reservation.mark_prompt_read()
 
     def release(self):
         """Take the newest sending's charge off its endpoint."""
-        if self.occupation is not None:
-            self.occupation.release()
-            self.occupation = None
+        if self.reservation is not None:
+            self.reservation.release()
+            self.reservation = None
 
     def settle(self, endpoint, opened):
         """Note what the sending says of its endpoint."""
@@ -171,7 +171,7 @@
         match opened:
             case NotRun(answer=Answered(head)) | Opened(head):
                 if head.status != MISDIRECTED_STATUS:
-                    directory.take_rate(endpoint, head.rate)
+                    directory.record_rate(endpoint, head.rate)
         match opened:
             case NotRun(reason, answer):
                 self.arrived |= answer is not None
@@ -215,5 +215,5 @@
             # Nothing has arrived anywhere, so that it is no repeat.
             return True
         return self.gateway.retries[call.service].spend(
-            now, self.gateway.peers.count_entries()
+            now, self.gateway.peers.count_sharing_gateways()
         )
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/call.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/call.py
@@ -16,7 +16,7 @@
     organisation: str
     priority: int
     # The caller was refused before and comes back: its answer is late in any case.
-    returned: bool
+    is_caller_retry: bool
     method: str
     # Path and query as they came.
     target: str
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/version/configuration.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/version/configuration.py
@@ -21,7 +21,7 @@
     def version(self):
         return -1 if self.table is None else self.table.version
 
-    def offer(self, table, now):
+    def update_if_newer(self, table, now):
         """Put a table in force if it is newer; tell whether."""
         if table.version <= self.version:
             return False
--- a/packages/fescuedrum/src/fescuedrum/decisions/leading.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/leading.py
@@ -30,6 +30,6 @@
         return (-self.link_megabits, self.host)
 
 
-def is_first(own, others):
+def is_leader(own, others):
     """Tell whether a candidate stands before all others."""
     return all(own.sort_key < other.sort_key for other in others)
--- a/packages/fescuedrum/src/fescuedrum/decisions/rooms.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/rooms.py
@@ -41,7 +41,7 @@
     slots: int,
     *,
     is_engine: bool,
-    returned: bool,
+    is_caller_retry: bool,
     strain: float = 0.0,
     ranks: int = BASE_RANKS,
 ) -> int:
@@ -52,7 +52,7 @@
     """
     if not is_engine:
         return slots * PLAIN_ROUNDS
-    if returned:
+    if is_caller_retry:
         return max(int(slots * RETURNED_PART), 1)
     may_wait = strain * move_factor(ranks) <= WAITING_STRAIN
     return slots + WAITING if may_wait else slots
--- a/tests/integration/test_gateway.py
+++ b/tests/integration/test_gateway.py
@@ -335,7 +335,7 @@
         running_gateway(store, host="127.0.0.2", ports=ports) as second,
         aiohttp.ClientSession() as session,
     ):
-        await first.until(lambda gateway: gateway.peers.count_entries() == 2)
+        await first.until(lambda gateway: gateway.peers.count_sharing_gateways() == 2)
         waiting = asyncio.create_task(call(first, session))
         await second.until(lambda gateway: gateway.peers.loads()["busy"].requests == 1)
         waiting.cancel()
--- a/tests/integration/test_store_sharing.py
+++ b/tests/integration/test_store_sharing.py
@@ -15,7 +15,7 @@
 
 from fescuedrum.decisions.following import STORE_READERS
 from fescuedrum.platform.interfaces import VersionedRow
-from fescuedrum_gateway.process.followers import CHANGES_PATH, Follower
+from fescuedrum_gateway.process.followers import CHANGES_PATH, TableFollower
 from fescuedrum_gateway.version.replica import Replica
 
 GATEWAYS = STORE_READERS + 4
@@ -89,7 +89,7 @@
         readers = [
             each
             for each in running
-            if any(follower.answers for follower in each.gateway.followers)
+            if any(follower.store_answers for follower in each.gateway.followers)
         ]
         assert len(readers) == STORE_READERS
         for each in readers[:3]:
@@ -132,7 +132,7 @@
     assert sent < len(body) / 8
 
 
-class PlayedFollower(Follower):
+class PlayedFollower(TableFollower):
     """Note whom a follower asks, and when; asking takes a while."""
 
     def __init__(self, peers, answered, seed=1):
@@ -153,7 +153,8 @@
     zones = ["zone-8", "zone-1", "zone-9", "zone-1", "zone-7"]
     ahead = [SimpleNamespace(zone=zone) for zone in zones]
     peers = SimpleNamespace(
-        ahead_of=lambda table, version: list(ahead), count_entries=lambda: 6
+        peers_ahead_of=lambda table, version: list(ahead),
+        count_sharing_gateways=lambda: 6,
     )
     follower = PlayedFollower(peers, answered=lambda follower: False)
     await follower.pull()
@@ -173,7 +174,8 @@
         loop = asyncio.get_running_loop()
         ahead = [SimpleNamespace(host="reader-0", zone="zone-9")]
         peers = SimpleNamespace(
-            ahead_of=lambda table, version: list(ahead), count_entries=lambda: 98
+            peers_ahead_of=lambda table, version: list(ahead),
+            count_sharing_gateways=lambda: 98,
         )
         for number in range(1, STORE_READERS):
             reader = SimpleNamespace(host=f"reader-{number}", zone="zone-9")
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -14,8 +14,8 @@
 from fescuedrum.decisions.experts.pace import PassTimer
 from fescuedrum.decisions.placement import Chosen
 from fescuedrum.wire.gen.gateways.ttypes import Beacon
-from fescuedrum_gateway.process.directory import Directory
-from fescuedrum_gateway.process.peers import Peers, limits_of, loads_of
+from fescuedrum_gateway.process.directory import EndpointDirectory
+from fescuedrum_gateway.process.peers import Peers, encode_limits, encode_loads
 from fescuedrum_gateway.version.configuration import RoutingConfiguration
 from support.clock import run_paused
 from support.gateways import build_settings
@@ -138,7 +138,7 @@
         )
         table = RoutingTable(build_routing_document(services=(service,)))
         self.configuration = RoutingConfiguration()
-        self.configuration.offer(table, 0.0)
+        self.configuration.update_if_newer(table, 0.0)
         self.beacons = {}
         self.clients = []
         self.gateways = [self.build_gateway(n) for n in range(shape.gateways)]
@@ -174,15 +174,15 @@
         peers = Peers(settings, number + 1)
         pass_timers = collections.defaultdict(PassTimer)
         chance = random.Random(self.random.random())
-        directory = Directory(
+        directory = EndpointDirectory(
             settings, None, self.configuration, peers, pass_timers, chance
         )
-        directory.changed = peers.changed
-        peers.describe = lambda: Beacon(
-            loads=loads_of(directory.own_loads()),
-            limits=limits_of(directory.rate_limits, self.loop.time()),
+        directory.announce_change = peers.announce_change
+        peers.build_beacon = lambda: Beacon(
+            loads=encode_loads(directory.own_loads()),
+            limits=encode_limits(directory.rate_limits, self.loop.time()),
         )
-        peers.heard = lambda peer: directory.take_rate_reports(
+        peers.on_beacon = lambda peer: directory.merge_rate_reports(
             peer.host, peer.rate_reports
         )
         self.network.join(peers)
@@ -248,20 +248,20 @@
         if not isinstance(placed, Chosen):
             self.count(began, "refused")
             return
-        occupation = gateway.occupy(placed.endpoint, 700)
+        reservation = gateway.reserve(placed.endpoint, 700)
         engine = self.engines[placed.endpoint.name]
         await asyncio.sleep(WAY_SECONDS)
         self.answered(gateway, placed.endpoint)
         await engine.enter()
         await asyncio.sleep(PROMPT_SECONDS)
-        occupation.prompt_read()
+        reservation.mark_prompt_read()
         is_late = self.loop.time() - began > FIRST_EVENT_SECONDS
         self.count(began, "late" if is_late else "on time")
         # Lengths differ by a factor of four, as answers do.
         spread = self.random.choice((0.4, 0.7, 1.0, 1.3, 1.6))
         await asyncio.sleep(self.shape.stream_seconds * spread)
         engine.leave()
-        occupation.release()
+        reservation.release()
 
     def answered(self, gateway, endpoint):
         """Let an endpoint tell a gateway of itself in the head of its answer."""
--- a/tests/support/overload.py
+++ b/tests/support/overload.py
@@ -29,7 +29,7 @@
 
     first_at: float
     gives_up_at: float
-    returned: bool = False
+    is_caller_retry: bool = False
 
 
 @dataclass(slots=True)
@@ -80,19 +80,23 @@
     def ask(self, now, caller):
         """Place a caller at the least loaded engine, or refuse it at once."""
         left = caller.gives_up_at - now
-        returned = not self.usual.is_fresh(left)
+        is_caller_retry = not self.usual.is_fresh(left)
         engine = min(self.engines, key=lambda each: each.requests)
         strain = self.pass_seconds() / PAUSE_SECONDS
         bound = request_limit(
-            SLOTS, is_engine=True, returned=returned, strain=strain, ranks=ENGINES
+            SLOTS,
+            is_engine=True,
+            is_caller_retry=is_caller_retry,
+            strain=strain,
+            ranks=ENGINES,
         )
         if engine.requests < bound:
             engine.waiting.append(caller)
             self.start(now, engine)
-        elif caller.returned:
+        elif caller.is_caller_retry:
             self.end(caller, "refused")
         else:
-            caller.returned = True
+            caller.is_caller_retry = True
             self.at(now + retry_delay(left, self.random), self.ask, caller)
 
     def start(self, now, engine):
--- a/tests/unit/test_beacons.py
+++ b/tests/unit/test_beacons.py
@@ -35,7 +35,7 @@
     for number in range(2, GATEWAYS + 1):
         gateway.peers.add_host(f"10.0.0.{number}")
     for peer in gateway.peers.hosts.values():
-        peer.heard_at = 0.0
+        peer.last_heard_at = 0.0
     return gateway
 
 
@@ -48,8 +48,8 @@
 
     async def run():
         gateway = build_gateway()
-        gateway.peers.tell_now()
-        gateway.peers.changed()
+        gateway.peers.broadcast_now()
+        gateway.peers.announce_change()
         draining = asyncio.create_task(gateway.drain())
         await asyncio.sleep(0)
         sent = gateway.peers.transport.sent
@@ -69,10 +69,10 @@
         gateway = build_gateway()
         transport = gateway.peers.transport
         transport.sent.clear()
-        gateway.peers.changed()
+        gateway.peers.announce_change()
         gateway.peers.close()
         await asyncio.sleep(1.0)
-        gateway.peers.changed()
+        gateway.peers.announce_change()
         await asyncio.sleep(1.0)
         return transport
 
--- a/tests/unit/test_coldness.py
+++ b/tests/unit/test_coldness.py
@@ -129,9 +129,9 @@
         known = peers.Peers(build_settings("one", GATEWAYS[0], (1, 2, 3)), 1)
         for host in GATEWAYS[1:40]:
             known.add_host(host)
-        at_once = known.count_entries()
-        await asyncio.sleep(peers.FORGOTTEN_SECONDS + 1)
-        return at_once, known.count_entries()
+        at_once = known.count_sharing_gateways()
+        await asyncio.sleep(peers.PEER_EXPIRY_SECONDS + 1)
+        return at_once, known.count_sharing_gateways()
 
     assert run_paused(run()) == (40, 1)
 
@@ -143,9 +143,9 @@
         known = peers.Peers(build_settings("one", GATEWAYS[0], (1, 2, 3)), 1)
         known.add_host(GATEWAYS[1])
         peer = known.hosts[GATEWAYS[1]]
-        peer.heard_at, peer.leaving = known.loop.time(), True
-        while_it_runs = known.count_entries()
-        await asyncio.sleep(peers.LOAD_SECONDS + 1)
-        return while_it_runs, known.count_entries()
+        peer.last_heard_at, peer.leaving = known.loop.time(), True
+        while_it_runs = known.count_sharing_gateways()
+        await asyncio.sleep(peers.LOAD_EXPIRY_SECONDS + 1)
+        return while_it_runs, known.count_sharing_gateways()
 
     assert run_paused(run()) == (2, 1)
--- a/tests/unit/test_followers.py
+++ b/tests/unit/test_followers.py
@@ -6,7 +6,7 @@
 from support.clock import run_paused
 from support.dialect import MemoryRowStore
 
-from fescuedrum_gateway.process.followers import Follower
+from fescuedrum_gateway.process.followers import TableFollower
 from fescuedrum_gateway.version.replica import Replica
 
 CHANGES = 40
@@ -41,7 +41,7 @@
         store = CountingStore()
         taken = {}
         loop = asyncio.get_running_loop()
-        follower = Follower(
+        follower = TableFollower(
             "endpoints",
             Replica("endpoints"),
             store,
--- a/tests/unit/test_leading.py
+++ b/tests/unit/test_leading.py
@@ -2,7 +2,7 @@
 
 import itertools
 
-from fescuedrum.decisions.leading import Candidate, is_first
+from fescuedrum.decisions.leading import Candidate, is_leader
 
 
 def build_candidates(count, wide=()):
@@ -16,7 +16,7 @@
     leaders = [
         each
         for each in candidates
-        if is_first(each, [other for other in candidates if other is not each])
+        if is_leader(each, [other for other in candidates if other is not each])
     ]
     assert len(leaders) == 1
     return leaders[0]
--- a/tests/unit/test_placement.py
+++ b/tests/unit/test_placement.py
@@ -90,9 +90,11 @@
     Everyone who was refused is back and fills all places; all of them are late anyway.
     """
 
-    def limits(returned):
+    def limits(is_caller_retry):
         def bound(endpoint):
-            return request_limit(endpoint.slots, is_engine=True, returned=returned)
+            return request_limit(
+                endpoint.slots, is_engine=True, is_caller_retry=is_caller_retry
+            )
 
         return PlacementLimits(request_limit=bound)
 
--- a/tests/unit/test_ratelimits.py
+++ b/tests/unit/test_ratelimits.py
@@ -23,7 +23,7 @@
 from fescuedrum.decisions.shares import BoundShares
 from fescuedrum.wire.gen.gateways.ttypes import EndpointLimit
 from fescuedrum_gateway.process.gateway import Gateway
-from fescuedrum_gateway.process.peers import limits_of, read_limits
+from fescuedrum_gateway.process.peers import decode_limits, encode_limits
 
 # What an endpoint in need bears in a window: this multiple of its rate, and these
 # requests beyond.
@@ -124,7 +124,7 @@
     here.observe("limited", Limited(0.5), 10.0)
     here.observe("ended", Limited(0.5), 10.0)
     here.observe("ended", Unlimited(), 11.0)
-    for endpoint, report in read_limits(limits_of(here, 12.0), 100.0):
+    for endpoint, report in decode_limits(encode_limits(here, 12.0), 100.0):
         there.merge(endpoint, report)
     assert there.newest["limited"] == RateReport(Limited(0.5), 98.0)
     assert there.requests("ended", 100.0) is None
@@ -137,7 +137,7 @@
 def test_a_report_that_can_not_be_true_is_passed_over(per_second, age):
     """A process of another deployment sends nonsense, and no request is placed."""
     told = EndpointLimit(endpoint="engine", per_second=per_second, age=age)
-    assert read_limits([told], 1.0) == []
+    assert decode_limits([told], 1.0) == []
 
 
 def test_only_what_a_gateway_heard_itself_is_told_on():
@@ -157,7 +157,7 @@
             directory.take_endpoint_rows([store.tables["endpoints"]["e-1"]])
             yield directory.rate_limits.limited()
             endpoint = directory.presences.by_name["e-1"].endpoint
-            directory.take_rate(endpoint, Limited(1.0))
+            directory.record_rate(endpoint, Limited(1.0))
             yield directory.rate_limits.limited()
 
     async def collect():
@@ -184,7 +184,7 @@
         now = self.loop.time()
         self.arrivals.append(now)
         is_needy = self.named_at <= now < self.ended_at
-        gateway.take_rate(endpoint, Limited(self.rate) if is_needy else Unlimited())
+        gateway.record_rate(endpoint, Limited(self.rate) if is_needy else Unlimited())
 
 
 @pytest.mark.parametrize("gateways", [7, 46, 98])
@@ -253,14 +253,14 @@
         fleet = FleetPlay(FleetShape(gateways=1, engines=3, rate=40.0, seconds=6.0))
         for gateway in fleet.gateways:
             for presence in list(gateway.presences.by_name.values()):
-                gateway.take_rate(presence.endpoint, Limited(0.5))
+                gateway.record_rate(presence.endpoint, Limited(0.5))
         causes = []
         place = fleet.gateways[0].choose_endpoint
         for _ in range(10):
             placed = place(SERVICE, set(), False)
             causes.append(getattr(placed, "cause", None))
             if causes[-1] is None:
-                fleet.gateways[0].occupy(placed.endpoint, 1)
+                fleet.gateways[0].reserve(placed.endpoint, 1)
         await asyncio.sleep(WINDOW_SECONDS)
         causes.append(getattr(place(SERVICE, set(), False), "cause", None))
         return causes
--- a/tests/unit/test_rooms.py
+++ b/tests/unit/test_rooms.py
@@ -17,8 +17,10 @@
 ENGINES = 63
 
 
-def engine_room(strain, returned=False):
-    return request_limit(SLOTS, is_engine=True, returned=returned, strain=strain)
+def engine_room(strain, is_caller_retry=False):
+    return request_limit(
+        SLOTS, is_engine=True, is_caller_retry=is_caller_retry, strain=strain
+    )
 
 
 def pass_seconds(at_each):
@@ -49,7 +51,7 @@
 def test_no_place_stands_empty_and_none_waits_while_passes_are_long(strain):
     """Callers are refused after an outage while a quarter of the places is empty."""
     assert engine_room(strain) == SLOTS
-    assert 1 <= engine_room(strain, returned=True) < SLOTS
+    assert 1 <= engine_room(strain, is_caller_retry=True) < SLOTS
 
 
 def test_room_only_falls_with_strain():
@@ -75,18 +77,22 @@
     """
     strain = 0.5
     small = request_limit(
-        SLOTS, is_engine=True, returned=False, strain=strain, ranks=12
+        SLOTS, is_engine=True, is_caller_retry=False, strain=strain, ranks=12
     )
     large = request_limit(
-        SLOTS, is_engine=True, returned=False, strain=strain, ranks=63
+        SLOTS, is_engine=True, is_caller_retry=False, strain=strain, ranks=63
     )
     assert large < small
-    calm = request_limit(SLOTS, is_engine=True, returned=False, strain=0.3, ranks=63)
+    calm = request_limit(
+        SLOTS, is_engine=True, is_caller_retry=False, strain=0.3, ranks=63
+    )
     assert calm > SLOTS
 
 
 def test_plain_services_know_no_strain():
-    assert request_limit(SLOTS, is_engine=False, returned=False, strain=9.0) > SLOTS
+    assert (
+        request_limit(SLOTS, is_engine=False, is_caller_retry=False, strain=9.0) > SLOTS
+    )
 
 
 def test_passes_stay_short_under_lasting_load():
