--- a/packages/fescuedrum-agent/src/fescuedrum_agent/connection/relay.py
+++ b/packages/fescuedrum-agent/src/fescuedrum_agent/connection/relay.py
@@ -87,7 +87,7 @@
                 await self.credited.wait()
             await self.gather()
             # Credit bounds one request; this bounds the sum of all on the connection.
-            await self.session.connection.wait_for_room()
+            await self.session.connection.wait_until_writable()
             size = min(self.credit, CHUNK_BYTES)
             data = self.answer.read(self.offset, size)
             self.send("chunk", offset=self.offset, data=data)
--- a/packages/fescuedrum-agent/src/fescuedrum_agent/connection/session.py
+++ b/packages/fescuedrum-agent/src/fescuedrum_agent/connection/session.py
@@ -61,13 +61,13 @@
 
     async def run(self):
         try:
-            side = self.agent.peers.agent_side()
+            side = self.agent.peers.accept_handshake()
             self.peer = (await self.connection.handshake(side)).instance
             self.agent.greet(self)
             while (frame := await self.connection.receive()) is not None:
                 if self.silent_for_long():
                     break
-                self.handle(codec.body_of(frame))
+                self.handle(codec.get_body(frame))
         finally:
             for task in self.tasks:
                 task.cancel()
@@ -92,7 +92,7 @@
         body = BODIES[kind](number=number, attempt=attempt, **fields)
         self.connection.send(**{kind: body})
         if kind == "head":
-            self.agent.faults.reach(ProtocolStep.AGENT_HEAD)
+            self.agent.faults.crash_if_set(ProtocolStep.AGENT_HEAD)
 
     def handle(self, body):
         match body:
--- a/packages/fescuedrum-agent/src/fescuedrum_agent/management.py
+++ b/packages/fescuedrum-agent/src/fescuedrum_agent/management.py
@@ -4,7 +4,7 @@
 import sys
 
 from fescuedrum import __version__
-from fescuedrum.signals import hold_reload
+from fescuedrum.signals import defer_reload
 
 EPILOG = """\
 settings: one JSON object, for instance
@@ -41,7 +41,7 @@
 
 def main(argv=None):
     """Run the command and return its exit code."""
-    hold_reload()
+    defer_reload()
     # These load the libraries, which takes longer than all before.
     from fescuedrum.process import run_process
     from fescuedrum_agent.conf import AgentSettings
--- a/packages/fescuedrum-agent/src/fescuedrum_agent/process/agent.py
+++ b/packages/fescuedrum-agent/src/fescuedrum_agent/process/agent.py
@@ -23,7 +23,7 @@
 from fescuedrum.exceptions import ProtocolError
 from fescuedrum.faults import FaultPoint, ProtocolStep
 from fescuedrum.logs import live_fields
-from fescuedrum.metrics import watch_loop
+from fescuedrum.metrics import measure_loop_delay
 from fescuedrum.once import open_session
 from fescuedrum.process import cancel, on_reload, stop_event, stop_on_failure
 from fescuedrum.versions.configuration import Configuration
@@ -111,7 +111,7 @@
         log_event(logger, AgentStarted(__version__))
         beat = asyncio.create_task(self.beat())
         stop_on_failure([beat, reload], stop)
-        lag = asyncio.create_task(watch_loop(self.metrics.loop_delay))
+        lag = asyncio.create_task(measure_loop_delay(self.metrics.loop_delay))
         await stop.wait()
         deadline = await self.drain()
         await cancel([beat, lag, reload])
@@ -165,7 +165,7 @@
                 if not session.connection.finished:
                     session.connection.finish()
             await asyncio.sleep(DRAIN_POLL_SECONDS)
-            if not any(session.connection.may_lose for session in self.sessions):
+            if not any(session.connection.may_lose_data for session in self.sessions):
                 return
 
     def busy(self):
@@ -292,7 +292,7 @@
         """Take a request or find its answer: (answer, None) or (None, Refused)."""
         now = asyncio.get_running_loop().time()
         if request.key:
-            self.faults.reach(ProtocolStep.AGENT_RECEIVED)
+            self.faults.crash_if_set(ProtocolStep.AGENT_RECEIVED)
             found, reason = self.keyed.find(request)
             if found is not None or reason is not None:
                 return found, reason and Refused(reason, 0.0)
--- a/packages/fescuedrum-agent/src/fescuedrum_agent/process/metrics.py
+++ b/packages/fescuedrum-agent/src/fescuedrum_agent/process/metrics.py
@@ -3,8 +3,8 @@
 from fescuedrum.metrics import (
     LOOP_DELAY_BUCKETS,
     OUTCOME,
-    Catalogue,
     Label,
+    MetricCatalogue,
 )
 from fescuedrum.outcomes import Outcome
 
@@ -17,7 +17,7 @@
     __slots__ = ("answers", "catalogue", "loop_delay", "refusals", "seconds", "waits")
 
     def __init__(self):
-        catalogue = self.catalogue = Catalogue()
+        catalogue = self.catalogue = MetricCatalogue()
         self.answers = catalogue.counter(
             "fescuedrum_agent_answers_total",
             "Answers told to entries, repeats of a key included.",
@@ -45,48 +45,48 @@
 
     def watch(self, agent):
         """Declare the gauges that are read from the agent's parts."""
-        reading = self.catalogue.reading
-        reading(
+        callback_gauge = self.catalogue.callback_gauge
+        callback_gauge(
             "fescuedrum_agent_running",
             "Requests that the endpoint runs now.",
             lambda: agent.gate.running,
         )
-        reading(
+        callback_gauge(
             "fescuedrum_agent_queued",
             "Requests that wait here for a place at the endpoint.",
             lambda: agent.gate.queue.length,
         )
-        reading(
+        callback_gauge(
             "fescuedrum_agent_limit",
             "Requests that the endpoint may run at once.",
             lambda: agent.gate.limit.limit,
         )
-        reading(
+        callback_gauge(
             "fescuedrum_agent_warm",
             "1 while the endpoint is known to be warm.",
             lambda: agent.gate.warm,
         )
-        reading(
+        callback_gauge(
             "fescuedrum_agent_sessions",
             "Entries that are connected and proved.",
             lambda: len(agent.sessions),
         )
-        reading(
+        callback_gauge(
             "fescuedrum_agent_ledger_keys",
             "Keys whose answers are kept.",
             lambda: len(agent.keyed.ledger.records),
         )
-        reading(
+        callback_gauge(
             "fescuedrum_unsent_bytes",
             "Bytes that entries have not taken yet.",
             lambda: sum(session.connection.unsent_bytes for session in agent.sessions),
         )
-        reading(
+        callback_gauge(
             "fescuedrum_configuration_version",
             "Version of the configuration that is in force here.",
             lambda: agent.configuration.version,
         )
-        reading(
+        callback_gauge(
             "fescuedrum_leaving",
             "1 while the process drains for its stop.",
             lambda: agent.gate.leaving,
--- a/packages/fescuedrum-agent/src/fescuedrum_agent/request/execution.py
+++ b/packages/fescuedrum-agent/src/fescuedrum_agent/request/execution.py
@@ -7,9 +7,9 @@
 from multidict import CIMultiDict
 from yarl import URL
 
-from fescuedrum.headers import as_text, end_to_end
+from fescuedrum.headers import end_to_end_headers, replace_invalid_utf8
 from fescuedrum.logs import request_context
-from fescuedrum.once import Sending
+from fescuedrum.once import SendOnceGuard
 from fescuedrum.outcomes import Outcome
 from fescuedrum.wire.gen.frames.ttypes import Header
 
@@ -69,7 +69,7 @@
             timeout=timeout,
             allow_redirects=False,
             skip_auto_headers=SKIPPED_HEADERS,
-            trace_request_ctx=Sending(),
+            trace_request_ctx=SendOnceGuard(),
         )
 
 
@@ -86,4 +86,7 @@
 
 
 def plain_headers(headers):
-    return [Header(name, as_text(value)) for name, value in end_to_end(headers)]
+    return [
+        Header(name, replace_invalid_utf8(value))
+        for name, value in end_to_end_headers(headers)
+    ]
--- a/packages/fescuedrum-agent/src/fescuedrum_agent/request/keyed.py
+++ b/packages/fescuedrum-agent/src/fescuedrum_agent/request/keyed.py
@@ -51,7 +51,7 @@
     def start(self, request, answer, now):
         attempt = request.key_attempt or 1
         self.ledger.start(request.key, attempt, request.token, now, answer)
-        self.faults.reach(ProtocolStep.AGENT_STARTED)
+        self.faults.crash_if_set(ProtocolStep.AGENT_STARTED)
 
     def withdraw(self, request):
         """Take back what the gate refused; the entry is told, no trace is needed."""
@@ -60,12 +60,12 @@
     def finish(self, request, answer, now):
         outcome = answer.outcome or Outcome.UNKNOWN
         self.ledger.finish(request.key, outcome, len(answer.body), now)
-        self.faults.reach(ProtocolStep.AGENT_ENDED)
+        self.faults.crash_if_set(ProtocolStep.AGENT_ENDED)
 
     def mark_recorded(self, body, now):
         keep = bool(body.keep_answer)
         self.ledger.mark_recorded(body.key, now, keep_answer=keep)
-        self.faults.reach(ProtocolStep.AGENT_RECORDED)
+        self.faults.crash_if_set(ProtocolStep.AGENT_RECORDED)
 
     def has_unacknowledged(self, now):
         """Tell whether an entry may still come for what ran here a moment ago.
@@ -88,7 +88,7 @@
             await asyncio.sleep(ARRIVAL_POLL_SECONDS)
         attempt, life = fence.key_attempt or 1, fence.incarnation
         verdict = self.ledger.fence(fence.key, attempt, life, loop.time())
-        self.faults.reach(ProtocolStep.AGENT_FENCED)
+        self.faults.crash_if_set(ProtocolStep.AGENT_FENCED)
         return verdict
 
     def knows(self, fence):
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/capacity/measures.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/capacity/measures.py
@@ -80,7 +80,7 @@
     """Measure the document's size and the time to take it against organisations."""
     sizes, times = [], []
     for count in ORGANISATION_COUNTS:
-        body = documents.canonical(build_document(count))
+        body = documents.encode_canonical(build_document(count))
         begin = time.process_time()
         for _ in range(PARSE_ROUNDS):
             documents.parse(body).unwrap()
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/commands/explain.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/commands/explain.py
@@ -48,8 +48,8 @@
 def print_explanation(explanation):
     for line in explanation.lines:
         print(line.describe())
-    if explanation.beliefs:
+    if explanation.state_changes:
         print("\nwhat processes came to believe around it:")
-    for line in explanation.beliefs:
+    for line in explanation.state_changes:
         print(line.describe())
     print(f"\n{explanation.conclusion}")
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/connection/callers.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/connection/callers.py
@@ -8,8 +8,8 @@
 from fescuedrum.events.event import log_event
 from fescuedrum.events.requests import MalformedHttp
 from fescuedrum.exceptions import BadRequest
-from fescuedrum.headers import is_text
-from fescuedrum.serving import LINGERING_SECONDS, HeldConnection, HeldServer
+from fescuedrum.headers import is_valid_utf8
+from fescuedrum.serving import LINGERING_SECONDS, TrackedConnection, TrackingServer
 from fescuedrum_entry.request import errors
 
 logger = logging.getLogger(__name__)
@@ -21,7 +21,7 @@
 SHUTDOWN_SECONDS = 0.2
 
 
-class CallerConnection(HeldConnection):
+class CallerConnection(TrackedConnection):
     """Answer malformed HTTP in the common shape."""
 
     __slots__ = ()
@@ -32,7 +32,7 @@
             return super().handle_error(request, status, exc, message)
         too_large = isinstance(exc, LineTooLong) or "Too many" in (message or "")
         error = errors.from_status(HEADERS_TOO_LARGE_STATUS if too_large else status)
-        error.closes = True
+        error.closes_connection = True
         log_event(logger, MalformedHttp(request.remote, str(error)))
         return errors.error_response(error, errors.new_request_id())
 
@@ -63,12 +63,12 @@
         async def handle(request):
             # The library's own answer to such a value ends in UnicodeEncodeError,
             # which a caller would see as status 500.
-            if not is_text(request.headers.get("Expect", "")):
+            if not is_valid_utf8(request.headers.get("Expect", "")):
                 return errors.error_response(BadRequest(), errors.new_request_id())
             # Not a middleware: the library builds its chain for each request.
             return await errors.shape_errors(request, serve)
 
-        return HeldServer(
+        return TrackingServer(
             handle,
             CallerConnection,
             request_factory=made.request_factory,
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/connection/link.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/connection/link.py
@@ -173,7 +173,7 @@
             )
         connection = FrameConnection(reader, writer)
         try:
-            side = self.entry.peers.entry_side(self.instance.name)
+            side = self.entry.peers.initiate_handshake(self.instance.name)
             self.peer = await connection.handshake(side)
         except BaseException:
             writer.transport.abort()
@@ -185,7 +185,7 @@
             while (frame := await connection.receive()) is not None:
                 self.heard_at = self.loop.time()
                 self.connection = connection
-                self.handle(codec.body_of(frame))
+                self.handle(codec.get_body(frame))
         finally:
             watch.cancel()
             connection.close()
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/connection/peer.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/connection/peer.py
@@ -36,7 +36,7 @@
         try:
             while (frame := await self.connection.receive()) is not None:
                 self.heard_at = self.loop.time()
-                self.handle(codec.body_of(frame))
+                self.handle(codec.get_body(frame))
         finally:
             watch.cancel()
             self.entry.members.closed(self)
@@ -97,7 +97,9 @@
             reader, writer = await peers.connect(self.host, self.port)
         connection = FrameConnection(reader, writer)
         try:
-            hello = await connection.handshake(peers.entry_side(self.name, ENTRY))
+            hello = await connection.handshake(
+                peers.initiate_handshake(self.name, ENTRY)
+            )
         except BaseException:
             writer.transport.abort()
             raise
@@ -108,7 +110,7 @@
     """Serve a connection that another entry dialled."""
     connection = FrameConnection(reader, writer)
     try:
-        hello = await connection.handshake(entry.peers.agent_side())
+        hello = await connection.handshake(entry.peers.accept_handshake())
         await Channel(entry, connection, hello).run()
     except (OSError, ProtocolError) as error:
         log_event(logger, PeerRefused(str(error)))
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/operators/changes.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/operators/changes.py
@@ -92,7 +92,7 @@
                 "hash": newest.document_hash,
                 "from_platform": newest.from_platform,
                 "redacted": redacted,
-                "document": schema.dump_changed(document),
+                "document": schema.dump_non_default(document),
             }
         )
 
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/operators/console/forms.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/operators/console/forms.py
@@ -81,7 +81,7 @@
         findings=[each for each in findings if each.path == path],
     )
     for each in dataclasses.fields(cls):
-        default = schema.default_of(each)
+        default = schema.get_default(each)
         value = data.get(each.name, schema.dump(default))
         made = build_input(
             hints[each.name],
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/process/entry.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/process/entry.py
@@ -20,7 +20,7 @@
 )
 from fescuedrum.faults import FaultPoint
 from fescuedrum.logs import live_fields
-from fescuedrum.metrics import watch_loop
+from fescuedrum.metrics import measure_loop_delay
 from fescuedrum.platform.client import PlatformClient
 from fescuedrum.platform.leases import Lease
 from fescuedrum.process import cancel, on_reload, stop_event, stop_on_failure
@@ -129,7 +129,7 @@
                 asyncio.create_task(self.members.run()),
                 asyncio.create_task(self.fairness.run()),
                 asyncio.create_task(self.callers_tls.follow()),
-                asyncio.create_task(watch_loop(self.metrics.loop_delay)),
+                asyncio.create_task(measure_loop_delay(self.metrics.loop_delay)),
                 asyncio.create_task(self.peers.certificates.follow()),
             ]
             stop_on_failure(tasks, stop)
@@ -141,7 +141,7 @@
             log_event(logger, EntryStarted(__version__))
             await stop.wait()
             await self.drain()
-            await serving.deliver(self.stop_plan, self.callers, runner)
+            await serving.wait_for_delivery(self.stop_plan, self.callers, runner)
             if peer_server is not None:
                 peer_server.close()
             await runner.cleanup()
@@ -201,9 +201,9 @@
         seconds = notice + self.settings.drain_seconds
         plan = self.stop_plan = StopPlan(loop.time(), seconds, notice)
         self.send_heartbeats()
-        self.callers.leave(plan.latest)
+        self.callers.start_draining(plan.latest)
         log_event(logger, EntryDraining(self.running, len(self.callers.connections)))
-        await serving.let_run(plan, self.callers, self.count_running)
+        await serving.wait_until_drained(plan, self.callers, self.count_running)
         seconds = round(loop.time() - plan.began, 3)
         open_connections = len(self.callers.connections)
         log_event(logger, EntryDrained(self.running, open_connections, seconds))
@@ -215,7 +215,7 @@
         ends, and its caller can't know that it did not run. An operator's change may
         likewise be at the store. Both are in hand from their head to their answer.
         """
-        return self.running + len(self.background) + self.callers.count_in_hand()
+        return self.running + len(self.background) + self.callers.count_active()
 
     def start_claims(self):
         """Start what writes claims and what deletes old ones; return the tasks."""
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/process/metrics.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/process/metrics.py
@@ -6,9 +6,9 @@
     ORGANISATION,
     OUTCOME,
     SERVICE,
-    Catalogue,
     Label,
-    bounded,
+    MetricCatalogue,
+    known_or_other,
 )
 
 NO_SERVICE = "none"
@@ -34,7 +34,7 @@
     )
 
     def __init__(self):
-        catalogue = self.catalogue = Catalogue()
+        catalogue = self.catalogue = MetricCatalogue()
         self.children = {}
         self.requests = catalogue.counter(
             "fescuedrum_requests_total",
@@ -75,24 +75,24 @@
 
     def watch(self, entry):
         """Declare the gauges that are read from the entry's parts."""
-        reading = self.catalogue.reading
-        reading(
+        callback_gauge = self.catalogue.callback_gauge
+        callback_gauge(
             "fescuedrum_running_requests",
             "Requests that run now.",
             lambda: entry.running,
         )
-        reading("fescuedrum_links", "Agents known.", lambda: len(entry.links))
-        reading(
+        callback_gauge("fescuedrum_links", "Agents known.", lambda: len(entry.links))
+        callback_gauge(
             "fescuedrum_links_usable",
             "Agents that may get new work.",
             lambda: sum(link.usable for link in entry.links.values()),
         )
-        reading(
+        callback_gauge(
             "fescuedrum_unexpected_frames",
             "Frames of agents that fitted no request since each link began.",
             lambda: sum(link.unexpected_frames for link in entry.links.values()),
         )
-        reading(
+        callback_gauge(
             "fescuedrum_unsent_bytes",
             "Bytes that agents have not taken yet.",
             lambda: sum(
@@ -101,12 +101,12 @@
                 if link.connection is not None
             ),
         )
-        reading(
+        callback_gauge(
             "fescuedrum_configuration_version",
             "Version of the configuration that is in force here.",
             lambda: entry.configuration.version,
         )
-        reading(
+        callback_gauge(
             "fescuedrum_leaving",
             "1 while the process drains for its stop.",
             lambda: entry.leaving,
@@ -132,7 +132,7 @@
         return found
 
     def refused(self, reason):
-        self.child(self.refusals, bounded(reason, REFUSAL_REASONS)).inc()
+        self.child(self.refusals, known_or_other(reason, REFUSAL_REASONS)).inc()
 
     def attempt_ended(self, result):
         self.child(self.attempts, result).inc()
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/request/errors.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/request/errors.py
@@ -66,7 +66,7 @@
     body = error_body(error, request_id)
     body["error"] |= details
     response = web.json_response(body, status=error.status, headers=headers)
-    if error.closes:
+    if error.closes_connection:
         # The rest of what the caller sends would be read as another request.
         response.force_close()
     return response
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/request/handler.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/request/handler.py
@@ -14,7 +14,7 @@
 from fescuedrum.exceptions import FescuedrumError, Unavailable
 from fescuedrum.logs import request_context
 from fescuedrum.outcomes import Outcome
-from fescuedrum.serving import REQUEST_ID, tell_taken
+from fescuedrum.serving import REQUEST_ID, log_taken_while_stopping
 from fescuedrum_entry.request.call import Repetition
 from fescuedrum_entry.request.dispatch import Dispatcher
 from fescuedrum_entry.request.errors import error_response, new_request_id, stopping
@@ -99,7 +99,9 @@
         plan.record_accepted(now)
         # Before the notice is over all are taken, by the hundred each second.
         if plan.is_noticed(now):
-            tell_taken(plan, call.request_id, call.deadline, http_request.protocol)
+            log_taken_while_stopping(
+                plan, call.request_id, call.deadline, http_request.protocol
+            )
 
     def configuration(self):
         if self.entry.configuration.document is None:
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/request/idempotent.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/request/idempotent.py
@@ -102,10 +102,10 @@
                 case NotRun(reason, retry_after_ms):
                     self.selection.refused(link, reason, retry_after_ms)
                     await self.pause(Overloaded(f"No endpoint took it: {reason}."))
-                case Failed() if not self.may_repeat():
+                case Failed() if not self.is_repeatable():
                     await self.passage.finish(Outcome.FAILED)
                     return
-                case Uncertain(reason) if not self.may_repeat():
+                case Uncertain(reason) if not self.is_repeatable():
                     raise OutcomeUnknown(reason)
 
     async def pause(self, error):
@@ -114,7 +114,7 @@
             raise error
         await asyncio.sleep(RETRY_SECONDS)
 
-    def may_repeat(self):
+    def is_repeatable(self):
         """Take a repeat from the budget, if one more can still be in time."""
         now = self.loop.time()
         if self.repeats >= MAXIMUM_REPEATS or now + RETRY_SECONDS >= self.call.deadline:
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/request/keyed.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/request/keyed.py
@@ -159,14 +159,14 @@
             return steps.StoreSilent()
 
     async def write_row(self, step):
-        self.entry.faults.reach(ProtocolStep.ENTRY_BEFORE_CLAIM)
+        self.entry.faults.crash_if_set(ProtocolStep.ENTRY_BEFORE_CLAIM)
         self.confirm(step.claim.agent)
         try:
             applied = await self.rows.write(self.key, step.claim, step.expected_version)
         except StoreUnavailable:
             await asyncio.sleep(STORE_RETRY_SECONDS)
             return steps.StoreSilent()
-        self.entry.faults.reach(ProtocolStep.ENTRY_CLAIMED)
+        self.entry.faults.crash_if_set(ProtocolStep.ENTRY_CLAIMED)
         return steps.WriteDone(applied)
 
     def confirm(self, agent):
@@ -218,7 +218,7 @@
         request.resume_offset = self.collector.length
         exchange = link.open(request)
         if not attach_only:
-            self.entry.faults.reach(ProtocolStep.ENTRY_DISPATCHED)
+            self.entry.faults.crash_if_set(ProtocolStep.ENTRY_DISPATCHED)
         finished = False
         try:
             event = await self.receive(exchange)
@@ -266,7 +266,7 @@
         elif end.outcome != Outcome.UNKNOWN and end.length != self.collector.length:
             return steps.ConnectionLost()
         answer = self.collector.recorded(end.outcome)
-        self.entry.faults.reach(ProtocolStep.ENTRY_ANSWERED)
+        self.entry.faults.crash_if_set(ProtocolStep.ENTRY_ANSWERED)
         return steps.Ended(Outcome(end.outcome), answer, end.reason or "")
 
     async def ask(self, claim):
@@ -275,7 +275,7 @@
         if link is None or link.connection is None:
             await asyncio.sleep(ASK_RETRY_SECONDS)
             return steps.CannotAsk()
-        self.entry.faults.reach(ProtocolStep.ENTRY_BEFORE_FENCE)
+        self.entry.faults.crash_if_set(ProtocolStep.ENTRY_BEFORE_FENCE)
         patience = self.entry.settings.fence_patience_seconds
         fence = frames.Fence(
             key=self.key,
@@ -294,7 +294,7 @@
         if not isinstance(reply, frames.FenceReply):
             await asyncio.sleep(ASK_RETRY_SECONDS)
             return steps.CannotAsk()
-        self.entry.faults.reach(ProtocolStep.ENTRY_FENCED)
+        self.entry.faults.crash_if_set(ProtocolStep.ENTRY_FENCED)
         return steps.Answered(FenceResult(reply.verdict))
 
     async def end(self, step):
@@ -311,13 +311,13 @@
 
     async def record(self, step):
         """Keep the end in the row and let the agent forget the answer."""
-        self.entry.faults.reach(ProtocolStep.ENTRY_REPLIED)
+        self.entry.faults.crash_if_set(ProtocolStep.ENTRY_REPLIED)
         try:
             applied = await self.rows.write(self.key, step.claim, step.expected_version)
         except StoreUnavailable:
             # The agent keeps the answer; the next repeat of the key records it.
             return
-        self.entry.faults.reach(ProtocolStep.ENTRY_RECORDED)
+        self.entry.faults.crash_if_set(ProtocolStep.ENTRY_RECORDED)
         link = self.entry.links.get(step.claim.agent)
         if applied and link is not None:
             keep = step.claim.answer is None and self.rows is self.entry.claims
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/request/parse.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/request/parse.py
@@ -14,8 +14,8 @@
     UnknownKey,
     UnknownService,
 )
-from fescuedrum.headers import end_to_end, is_text
-from fescuedrum.serving import StopOver
+from fescuedrum.headers import end_to_end_headers, is_valid_utf8
+from fescuedrum.serving import StopDeadlinePassed
 from fescuedrum_entry.request.call import Call, Repetition
 from fescuedrum_entry.request.completion import Completion, parse_completion
 from fescuedrum_entry.request.errors import stopping
@@ -96,7 +96,7 @@
     if not http_request.raw_path.isascii():
         raise BadRequest("The path is not percent-encoded.", field="path")
     for name, value in http_request.headers.items():
-        if not is_text(value):
+        if not is_valid_utf8(value):
             raise BadRequest(f"The header {name} is not UTF-8.", field=name)
     for name in SINGLE_HEADERS:
         if len(http_request.headers.getall(name, ())) > 1:
@@ -118,7 +118,7 @@
 
 def forwarded_headers(http_request):
     """Return the headers that the endpoint gets."""
-    headers = end_to_end(http_request.headers, without=OWN_HEADERS)
+    headers = end_to_end_headers(http_request.headers, without=OWN_HEADERS)
     seen = http_request.headers
     through = [*seen.getall("X-Forwarded-For", ()), http_request.remote or "unknown"]
     headers.append(("X-Forwarded-For", ", ".join(through)))
@@ -154,9 +154,9 @@
         if http_request.content.is_eof():
             # It came with the head, so there is nothing to wait for.
             return await read_within(http_request.content, maximum)
-        async with http_request.protocol.server.body_within(settings.body_seconds):
+        async with http_request.protocol.server.body_timeout(settings.body_seconds):
             return await read_within(http_request.content, maximum)
-    except StopOver as error:
+    except StopDeadlinePassed as error:
         raise stopping() from error
     except TimeoutError as error:
         raise BodyTooSlow(
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/connection/callers.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/connection/callers.py
@@ -6,14 +6,14 @@
 
 from fescuedrum.events.event import log_event
 from fescuedrum.events.requests import MalformedHttp
-from fescuedrum.serving import LINGERING_SECONDS, HeldConnection, HeldServer
+from fescuedrum.serving import LINGERING_SECONDS, TrackedConnection, TrackingServer
 
 logger = logging.getLogger(__name__)
 
 BAD_REQUEST_STATUS = 400
 
 
-class CallerConnection(HeldConnection):
+class CallerConnection(TrackedConnection):
     """Answer malformed HTTP without a traceback in the log."""
 
     __slots__ = ()
@@ -30,7 +30,7 @@
 
 def build_server(handle, settings):
     """Return a server that cancels a request's handler when its caller leaves."""
-    return HeldServer(
+    return TrackingServer(
         handle,
         CallerConnection,
         access_log=None,
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/connection/endpoints.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/connection/endpoints.py
@@ -6,7 +6,7 @@
 from aiohttp import hdrs
 from yarl import URL
 
-from fescuedrum.once import Sending, open_session
+from fescuedrum.once import SendOnceGuard, open_session
 from fescuedrum_gateway.request.call import Answered, Lost, NotRun
 
 # A connection opens within two ways of a few milliseconds; a lost packet is sent again
@@ -111,7 +111,7 @@
             allow_redirects=False,
             skip_auto_headers=OWN_HEADERS,
             timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_SECONDS),
-            trace_request_ctx=Sending(),
+            trace_request_ctx=SendOnceGuard(),
         )
     except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
         # No connection, so that nothing of the request has left.
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/directory.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/directory.py
@@ -279,7 +279,7 @@
 
     def strain(self, service):
         """Return the length of passes over the pause allowed; 0 when unknown."""
-        pause = self.configuration.table.pauses.get(service)
+        pause = self.configuration.table.allowed_pauses.get(service)
         current = self.pass_timers[service].current_pass_seconds(self.loop.time())
         return current / pause if pause and current else 0.0
 
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/gateway.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/gateway.py
@@ -26,7 +26,7 @@
 )
 from fescuedrum.events.tables import OperatorsRowNotUnderstood
 from fescuedrum.exceptions import RowNotUnderstood, StoreUnavailable
-from fescuedrum.metrics import watch_loop
+from fescuedrum.metrics import measure_loop_delay
 from fescuedrum.process import cancel, on_reload
 from fescuedrum.wire.gen.gateways.ttypes import Beacon
 from fescuedrum_gateway.connection.callers import build_server
@@ -142,13 +142,18 @@
                 self.store_session, self.settings.link_megabits
             )
             duty = GroupSupervisor(self, engines)
-            lasting += [self.peers.run, self.announce, duty.run, self.watch_loop]
+            lasting += [
+                self.peers.run,
+                self.announce,
+                duty.run,
+                self.measure_loop_delay,
+            ]
             tasks = [asyncio.create_task(keep_running(work)) for work in lasting]
             log_event(logger, GatewayStarted(__version__))
             await stop.wait()
             await self.drain()
             callers, own = runners
-            await serving.deliver(self.stop_plan, self.callers, callers)
+            await serving.wait_for_delivery(self.stop_plan, self.callers, callers)
             cut = len(self.callers.connections)
             await callers.cleanup()
             await own.cleanup()
@@ -323,8 +328,8 @@
                 log_event(logger, AddressNotWritten(error.detail))
                 await asyncio.sleep(ANNOUNCE_RETRY_SECONDS)
 
-    async def watch_loop(self):
-        await watch_loop(self.metrics.loop_delay)
+    async def measure_loop_delay(self):
+        await measure_loop_delay(self.metrics.loop_delay)
 
     # The end
 
@@ -333,9 +338,9 @@
         loop = asyncio.get_running_loop()
         plan = self.stop_plan = StopPlan(loop.time(), self.settings.stop_seconds)
         self.peers.broadcast_now()
-        self.callers.leave(plan.latest)
+        self.callers.start_draining(plan.latest)
         log_event(logger, GatewayDraining(self.running, len(self.callers.connections)))
-        await serving.let_run(plan, self.callers, lambda: self.running)
+        await serving.wait_until_drained(plan, self.callers, lambda: self.running)
         seconds = round(loop.time() - plan.began, 3)
         open_connections = len(self.callers.connections)
         log_event(logger, GatewayDrained(self.running, open_connections, seconds))
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/metrics.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/metrics.py
@@ -1,6 +1,6 @@
 """Declare the gateway's metrics and count what its requests come to."""
 
-from fescuedrum.metrics import LOOP_DELAY_BUCKETS, SERVICE, Catalogue, Label
+from fescuedrum.metrics import LOOP_DELAY_BUCKETS, SERVICE, Label, MetricCatalogue
 
 NO_SERVICE = "none"
 RESULT = Label("result", "5: answered, failed, cut, refused, left")
@@ -24,7 +24,7 @@
     )
 
     def __init__(self):
-        catalogue = self.catalogue = Catalogue()
+        catalogue = self.catalogue = MetricCatalogue()
         self.requests = catalogue.counter(
             "fescuedrum_gateway_requests_total",
             "Requests that came to an end.",
@@ -112,7 +112,7 @@
             ("leaving", "1 while the process stops.", lambda: gateway.leaving),
         )
         for name, text, read in readings:
-            self.catalogue.reading(f"fescuedrum_gateway_{name}", text, read)
+            self.catalogue.callback_gauge(f"fescuedrum_gateway_{name}", text, read)
 
     def ended(self, service, result, seconds):
         self.requests.labels(service or NO_SERVICE, result).inc()
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/program.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/program.py
@@ -6,7 +6,7 @@
 
 from fescuedrum.events.event import log_event
 from fescuedrum.events.processes import SettingsNotReloaded
-from fescuedrum.logs import configure_bounded_logging
+from fescuedrum.logs import configure_rate_limited_logging
 from fescuedrum.process import (
     EXIT_FINDINGS,
     EXIT_OK,
@@ -32,7 +32,7 @@
     settings = loaded.ok_value
     if only_check:
         return run_check(settings)
-    configure_bounded_logging(
+    configure_rate_limited_logging(
         settings.log_level,
         settings.log_lines_per_second,
         instance=settings.name,
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/admission.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/admission.py
@@ -13,7 +13,7 @@
     UnknownKey,
     UnknownRoute,
 )
-from fescuedrum.serving import StopOver
+from fescuedrum.serving import StopDeadlinePassed
 from fescuedrum_gateway.request.call import Call
 
 # A process that starts gets its first configuration within about this time.
@@ -47,9 +47,9 @@
     would hang, and hold up the stop of its process, long after the caller gave it up.
     """
     try:
-        async with gateway.callers.body_within(seconds):
+        async with gateway.callers.body_timeout(seconds):
             return await read_body(http_request, limit)
-    except StopOver:
+    except StopDeadlinePassed:
         raise refuse_at_stop() from None
     except TimeoutError:
         raise BodyTooSlow("Not all of it came in the caller's time.") from None
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/handler.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/handler.py
@@ -16,7 +16,7 @@
     RequestRefused,
 )
 from fescuedrum.exceptions import BadRequest, FescuedrumError, Overloaded
-from fescuedrum.serving import REQUEST_ID, tell_taken
+from fescuedrum.serving import REQUEST_ID, log_taken_while_stopping
 from fescuedrum_gateway.request.admission import admit
 from fescuedrum_gateway.request.call import Answered, StreamBroken, StreamEnded
 from fescuedrum_gateway.request.plain import PlainRun
@@ -93,7 +93,9 @@
             call = await admit(http_request, head, self.gateway, arrived)
             if plan := self.gateway.stop_plan:
                 plan.record_accepted(self.loop.time())
-                tell_taken(plan, request_id, call.ends_at, http_request.protocol)
+                log_taken_while_stopping(
+                    plan, request_id, call.ends_at, http_request.protocol
+                )
             self.gateway.retries[call.service].request(arrived)
             return await self.serve(http_request, call)
         except FescuedrumError as error:
@@ -154,7 +156,7 @@
         self.gateway.metrics.ended("", REFUSED, event.seconds)
         headers = self.gateway.adapter.refusal_headers(request_id, error.retry_after)
         response = web.Response(status=error.status, text=str(error), headers=headers)
-        if error.closes or isinstance(error, BadRequest):
+        if error.closes_connection or isinstance(error, BadRequest):
             # The rest of what the caller sends would be read as another request.
             response.force_close()
         return response
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/plain.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/plain.py
@@ -51,9 +51,9 @@
         case NotRun(everywhere=everywhere):
             return not everywhere
         case Answered(head):
-            return kind.may_repeat and head.status in SERVER_ERRORS
+            return kind.is_repeatable and head.status in SERVER_ERRORS
         case _:
-            return kind.may_repeat
+            return kind.is_repeatable
 
 
 def settle(result):
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/stream.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/stream.py
@@ -77,7 +77,7 @@
             case StreamEnded():
                 return False
             case StreamBroken():
-                return self.call.route.kind.may_repeat
+                return self.call.route.kind.is_repeatable
             case _:
                 return plain.is_open(result, self.call.route.kind)
 
@@ -152,6 +152,6 @@
     async def begin(self, head):
         self.response = web.StreamResponse(status=head.status, headers=head.headers)
         self.response.enable_chunked_encoding()
-        if self.http_request.protocol.ends:
+        if self.http_request.protocol.ends_after_response:
             self.response.force_close()
         await self.response.prepare(self.http_request)
--- a/packages/fescuedrum/src/fescuedrum/conf/diff.py
+++ b/packages/fescuedrum/src/fescuedrum/conf/diff.py
@@ -76,7 +76,7 @@
     parts = []
     for field in dataclasses.fields(item):
         value = getattr(item, field.name)
-        if field.name != "name" and value not in (schema.default_of(field), []):
+        if field.name != "name" and value not in (schema.get_default(field), []):
             parts.append(f"{spaced(field.name)} {show(value)}")
     return f" with {', '.join(parts)}" if parts else ""
 
--- a/packages/fescuedrum/src/fescuedrum/conf/document/__init__.py
+++ b/packages/fescuedrum/src/fescuedrum/conf/document/__init__.py
@@ -1,9 +1,9 @@
 """Define the configuration document: the whole desired state in one JSON text."""
 
 from fescuedrum.conf.document.encoding import (
-    canonical,
     decode,
     document_hash,
+    encode_canonical,
     parse,
 )
 from fescuedrum.conf.document.model import (
@@ -42,10 +42,10 @@
     "WorkClass",
     "Zone",
     "ZoneState",
-    "canonical",
     "check_document",
     "decode",
     "document_hash",
+    "encode_canonical",
     "hash_key",
     "parse",
 ]
--- a/packages/fescuedrum/src/fescuedrum/conf/document/encoding.py
+++ b/packages/fescuedrum/src/fescuedrum/conf/document/encoding.py
@@ -11,14 +11,14 @@
 from fescuedrum.conf.document.validation import check_document
 
 
-def canonical(document):
+def encode_canonical(document):
     """Encode a document so that equal documents give equal bytes.
 
     Fields at their default are left out: a release that adds a field then changes
     neither the bytes nor the hash of a document that does not use it, and processes
     of the release before go on understanding it.
     """
-    plain = schema.dump_changed(document)
+    plain = schema.dump_non_default(document)
     return json.dumps(plain, sort_keys=True, separators=(",", ":")).encode()
 
 
--- a/packages/fescuedrum/src/fescuedrum/conf/reference.py
+++ b/packages/fescuedrum/src/fescuedrum/conf/reference.py
@@ -62,7 +62,7 @@
     for field in dataclasses.fields(cls):
         described = describe_type(hints[field.name], field.metadata, definitions)
         described["description"] = field.metadata["help"]
-        default = schema.default_of(field)
+        default = schema.get_default(field)
         if default is schema.MISSING:
             required.append(field.name)
         else:
@@ -89,7 +89,7 @@
 
 def describe_row(cls, field):
     kind = typing.get_type_hints(cls)[field.name]
-    default = schema.default_of(field)
+    default = schema.get_default(field)
     shown = "required" if default is schema.MISSING else f"`{schema.dump(default)}`"
     meaning = field.metadata["help"] + describe_bounds(field.metadata)
     return f"| `{field.name}` | {type_name(kind)} | {shown} | {meaning} |"
--- a/packages/fescuedrum/src/fescuedrum/conf/routing.py
+++ b/packages/fescuedrum/src/fescuedrum/conf/routing.py
@@ -18,7 +18,7 @@
         return self in (RequestKind.STREAM, RequestKind.RESUMABLE_STREAM)
 
     @property
-    def may_repeat(self):
+    def is_repeatable(self):
         """Tell whether it may run more than once; a stream only if it can resume."""
         return self in (RequestKind.IDEMPOTENT, RequestKind.RESUMABLE_STREAM)
 
@@ -126,9 +126,9 @@
     """Look up a document's routes, services and keys."""
 
     __slots__ = (
+        "allowed_pauses",
         "document",
         "organisations_by_key",
-        "pauses",
         "routes_by_host",
         "services",
     )
@@ -142,7 +142,7 @@
             for key in organisation.keys
         }
         # Shortest pause between events that a service's callers allow, in seconds.
-        self.pauses = shortest_pauses(document.routes)
+        self.allowed_pauses = shortest_pauses(document.routes)
         self.routes_by_host = {}
         longest_first = sorted(document.routes, key=lambda each: -len(each.prefix))
         for route in longest_first:
--- a/packages/fescuedrum/src/fescuedrum/conf/schema.py
+++ b/packages/fescuedrum/src/fescuedrum/conf/schema.py
@@ -159,20 +159,20 @@
     return field.metadata.get("help", f"Give a value for {field.name}.")
 
 
-def dump_changed(instance):
+def dump_non_default(instance):
     """Turn a data class into plain JSON values without fields at their default."""
     if dataclasses.is_dataclass(instance):
         return {
-            field.name: dump_changed(getattr(instance, field.name))
+            field.name: dump_non_default(getattr(instance, field.name))
             for field in dataclasses.fields(instance)
-            if getattr(instance, field.name) != default_of(field)
+            if getattr(instance, field.name) != get_default(field)
         }
     if isinstance(instance, list):
-        return [dump_changed(item) for item in instance]
+        return [dump_non_default(item) for item in instance]
     return dump(instance)
 
 
-def default_of(field):
+def get_default(field):
     """Return a field's default; MISSING when it has none."""
     if field.default_factory is not MISSING:
         return field.default_factory()
--- a/packages/fescuedrum/src/fescuedrum/exceptions.py
+++ b/packages/fescuedrum/src/fescuedrum/exceptions.py
@@ -12,7 +12,7 @@
     remedy = "Report the request's id to the operators."
 
     # Whether the caller's connection can't be read any further.
-    closes = False
+    closes_connection = False
 
     def __init__(self, detail="", *, retry_after=None, field=None):
         super().__init__(f"{detail} {self.remedy}".strip())
@@ -53,7 +53,7 @@
     code = "body-too-large"
     status = 413
     remedy = "Send a smaller body."
-    closes = True
+    closes_connection = True
 
 
 class BodyTooSlow(BadRequest):
@@ -62,7 +62,7 @@
     code = "body-too-slow"
     status = 408
     remedy = "Send the whole body without a pause."
-    closes = True
+    closes_connection = True
 
 
 class HeadersTooLarge(BadRequest):
@@ -71,7 +71,7 @@
     code = "headers-too-large"
     status = 431
     remedy = "Send fewer or shorter headers."
-    closes = True
+    closes_connection = True
 
 
 class UnknownRoute(BadRequest):
--- a/packages/fescuedrum/src/fescuedrum/explaining.py
+++ b/packages/fescuedrum/src/fescuedrum/explaining.py
@@ -86,7 +86,7 @@
     """Hold a request's own lines, what was believed around it, and the conclusion."""
 
     lines: list[LogLine]
-    beliefs: list[LogLine]
+    state_changes: list[LogLine]
     conclusion: str
 
 
@@ -110,8 +110,8 @@
     own = [line for line in ordered if line.fields.get("request") == request_id]
     if not own:
         return None
-    beliefs = [line for line in ordered if bears_on(line, own)]
-    return Explanation(own, beliefs, conclude(own, ordered))
+    state_changes = [line for line in ordered if bears_on(line, own)]
+    return Explanation(own, state_changes, conclude(own, ordered))
 
 
 def bears_on(line, own):
--- a/packages/fescuedrum/src/fescuedrum/faults.py
+++ b/packages/fescuedrum/src/fescuedrum/faults.py
@@ -32,6 +32,6 @@
     def __init__(self, step):
         self.step = ProtocolStep(step) if step else None
 
-    def reach(self, step):
+    def crash_if_set(self, step):
         if step is self.step:
             os.kill(os.getpid(), signal.SIGKILL)
--- a/packages/fescuedrum/src/fescuedrum/headers.py
+++ b/packages/fescuedrum/src/fescuedrum/headers.py
@@ -16,7 +16,7 @@
 )
 
 
-def end_to_end(headers, *, without=frozenset()):
+def end_to_end_headers(headers, *, without=frozenset()):
     """Return the (name, value) pairs of a message that its next reader should get.
 
     The Connection header may name more headers that are meant for one hop only.
@@ -35,7 +35,7 @@
     ]
 
 
-def is_text(value):
+def is_valid_utf8(value):
     """Tell whether a header's value was valid UTF-8 and so can go on as it came."""
     if value.isascii():
         return True
@@ -46,6 +46,6 @@
     return True
 
 
-def as_text(value):
+def replace_invalid_utf8(value):
     """Replace the bytes of a value that were not valid UTF-8."""
-    return value if is_text(value) else value.encode(errors="replace").decode()
+    return value if is_valid_utf8(value) else value.encode(errors="replace").decode()
--- a/packages/fescuedrum/src/fescuedrum/logs.py
+++ b/packages/fescuedrum/src/fescuedrum/logs.py
@@ -138,7 +138,7 @@
         return True
 
 
-def configure_bounded_logging(level, rate, **fixed):
+def configure_rate_limited_logging(level, rate, **fixed):
     """Send records to standard output as JSON lines, so many a second at most."""
     descriptor = sys.stdout.fileno()
     os.set_blocking(descriptor, False)
--- a/packages/fescuedrum/src/fescuedrum/management.py
+++ b/packages/fescuedrum/src/fescuedrum/management.py
@@ -5,7 +5,7 @@
 import pkgutil
 
 from fescuedrum import __version__
-from fescuedrum.signals import hold_reload, release_reload
+from fescuedrum.signals import defer_reload, restore_reload_default
 
 EPILOG = """\
 exit codes:
@@ -53,10 +53,10 @@
 
     Only a command that reloads its settings holds the signal to do so.
     """
-    hold_reload()
+    defer_reload()
     found = load_commands(package)
     arguments = build_parser(found, prog, description).parse_args(argv)
     command = found[arguments.command]
     if not getattr(command, "reloads", False):
-        release_reload()
+        restore_reload_default()
     return command.handle(arguments)
--- a/packages/fescuedrum/src/fescuedrum/metrics.py
+++ b/packages/fescuedrum/src/fescuedrum/metrics.py
@@ -53,7 +53,7 @@
     labels: tuple[Label, ...]
 
 
-class Catalogue:
+class MetricCatalogue:
     """Own one process's registry and the descriptions of what is in it."""
 
     __slots__ = ("descriptions", "registry")
@@ -72,7 +72,7 @@
     def gauge(self, name, help, *labels):
         return self.declare(Gauge, name, help, labels)
 
-    def reading(self, name, help, read):
+    def callback_gauge(self, name, help, read):
         """Declare a gauge that is read only when somebody asks for the metrics."""
         self.gauge(name, help).set_function(read)
 
@@ -95,7 +95,7 @@
 OUTCOME = Label("outcome", "4: answered, not-run, unknown, failed")
 
 
-def bounded(value, allowed):
+def known_or_other(value, allowed):
     """Return the value, or `other` when it is not one of the allowed ones.
 
     What a peer or a caller sends must never choose a label's value: each new value
@@ -104,7 +104,7 @@
     return value if value in allowed else OTHER
 
 
-async def watch_loop(histogram):
+async def measure_loop_delay(histogram):
     """Measure how late the loop runs a timer: what every request waits for, too."""
     loop = asyncio.get_running_loop()
     while True:
--- a/packages/fescuedrum/src/fescuedrum/once.py
+++ b/packages/fescuedrum/src/fescuedrum/once.py
@@ -10,7 +10,7 @@
         super().__init__("the endpoint closed the connection; it was not sent again")
 
 
-class Sending:
+class SendOnceGuard:
     """Count how often one request was about to be sent."""
 
     __slots__ = ("connections",)
--- a/packages/fescuedrum/src/fescuedrum/process.py
+++ b/packages/fescuedrum/src/fescuedrum/process.py
@@ -14,8 +14,8 @@
 from fescuedrum.conf import schema
 from fescuedrum.events.event import log_event
 from fescuedrum.events.processes import SettingsWarning, TaskFailed
-from fescuedrum.logs import configure_bounded_logging
-from fescuedrum.signals import held_reload
+from fescuedrum.logs import configure_rate_limited_logging
+from fescuedrum.signals import deferred_reload
 
 logger = logging.getLogger(__name__)
 
@@ -62,7 +62,7 @@
     settings = loaded.ok_value
     if arguments.check_settings:
         return run_check(settings)
-    configure_bounded_logging(
+    configure_rate_limited_logging(
         settings.log_level,
         settings.log_lines_per_second,
         instance=settings.name,
@@ -99,8 +99,8 @@
             callback()
 
     asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, reload)
-    if held_reload.asked:
-        held_reload.asked = False
+    if deferred_reload.requested:
+        deferred_reload.requested = False
         reload()
 
 
--- a/packages/fescuedrum/src/fescuedrum/serving.py
+++ b/packages/fescuedrum/src/fescuedrum/serving.py
@@ -18,7 +18,7 @@
 # long the rest of a refused body is read and dropped.
 LINGERING_SECONDS = 1.0
 # A caller that has just connected, or was just answered, may be sending already.
-REST_SECONDS = 1.0
+MINIMUM_IDLE_SECONDS = 1.0
 # The same at the very end of a stop, where such a caller would be refused.
 LAST_REST_SECONDS = 0.2
 # For what was written on a TLS connection to leave, once it is closed.
@@ -27,11 +27,11 @@
 STOP_POLL_SECONDS = 0.05
 
 
-class StopOver(TimeoutError):  # noqa: N818 - tells a state, not a fault
+class StopDeadlinePassed(TimeoutError):  # noqa: N818 - tells a state, not a fault
     """Tell that the time of a stop was over before what was waited for."""
 
 
-class HeldConnection(RequestHandler):
+class TrackedConnection(RequestHandler):
     """Know whether a caller's connection has a request in hand, or rests."""
 
     __slots__ = ("answered", "closed_at", "rests_since", "server", "tls")
@@ -68,7 +68,7 @@
         return now - self.closed_at >= AGREEMENT_SECONDS
 
     @property
-    def rests(self):
+    def is_idle(self):
         """Tell whether the head of a request is waited for.
 
         The library knows it and tells nobody. A handler that has begun shows a request
@@ -78,7 +78,7 @@
         return waiter is not None and not waiter.done()
 
     @property
-    def ends(self):
+    def ends_after_response(self):
         """Tell whether the present answer is the last one here.
 
         A kept connection would bring its caller's next request to a process that stops.
@@ -89,7 +89,7 @@
 
     async def finish_response(self, request, resp, start_time):
         """Write an answer to its end; the last one ends the connection."""
-        if self.ends:
+        if self.ends_after_response:
             resp.force_close()
         try:
             return await super().finish_response(request, resp, start_time)
@@ -101,7 +101,7 @@
             self.rests_since = self._loop.time()
 
 
-class HeldServer(web.Server):
+class TrackingServer(web.Server):
     """Make a connection of a kind for each caller, and end those that rest."""
 
     def __init__(self, handle, kind, **options):
@@ -119,7 +119,7 @@
     def leaving(self):
         return self.ends_at is not None
 
-    def leave(self, ends_at):
+    def start_draining(self, ends_at):
         """End each connection with its answer, and wait for bodies until that time."""
         self.ends_at = ends_at
         for limit in self.limits:
@@ -128,8 +128,8 @@
                 limit.reschedule(min(limit.when(), ends_at))
 
     @contextlib.asynccontextmanager
-    async def body_within(self, seconds):
-        """Bound the reading of a body: TimeoutError, or StopOver at a stop's end.
+    async def body_timeout(self, seconds):
+        """Bound a body's reading: TimeoutError, or StopDeadlinePassed at a stop's end.
 
         The failure: a body is not whole when the process ends, and its caller gets no
         word, although its request never ran.
@@ -144,15 +144,15 @@
                 yield
         except TimeoutError:
             if limit.when() == self.ends_at:
-                raise StopOver from None
+                raise StopDeadlinePassed from None
             raise
         finally:
             self.limits.discard(limit)
 
-    def count_in_hand(self):
+    def count_active(self):
         """Count connections with a request that is read, runs, or is being answered."""
         return sum(
-            not connection.rests and connection.closed_at is None
+            not connection.is_idle and connection.closed_at is None
             for connection in self.connections
         )
 
@@ -160,14 +160,14 @@
         """Return the connections for which a stop has to wait."""
         return {each for each in self.connections if not each.is_left(now)}
 
-    def close_resting(self, now, rest_seconds=REST_SECONDS):
+    def close_idle(self, now, rest_seconds=MINIMUM_IDLE_SECONDS):
         """Close connections without a request in hand, after so much rest."""
         for connection in self.connections:
-            if connection.rests and now - connection.rests_since >= rest_seconds:
+            if connection.is_idle and now - connection.rests_since >= rest_seconds:
                 connection.close_rested(now)
 
 
-def tell_taken(plan, request_id, deadline, connection):
+def log_taken_while_stopping(plan, request_id, deadline, connection):
     """Log that a stopping process takes a request, with what decided it."""
     now = asyncio.get_running_loop().time()
     event = TakenWhileStopping(
@@ -180,7 +180,7 @@
     log_event(logger, event)
 
 
-async def let_run(plan, server, count_running):
+async def wait_until_drained(plan, server, count_running):
     """Wait until a stop may end.
 
     Once the balancer has noticed, only kept connections still bring requests here.
@@ -190,12 +190,12 @@
     loop = asyncio.get_running_loop()
     while not plan.may_end(loop.time(), count_running()):
         if plan.is_noticed(loop.time()):
-            server.close_resting(loop.time())
+            server.close_idle(loop.time())
         await asyncio.sleep(STOP_POLL_SECONDS)
     plan.close()
 
 
-async def deliver(plan, server, runner):
+async def wait_for_delivery(plan, server, runner):
     """Wait until callers have their answers, or the time of the stop is over.
 
     A request has ended when its answer is written, but a caller on a narrow link
@@ -219,6 +219,6 @@
     loop = asyncio.get_running_loop()
     while not plan.is_over(loop.time()):
         await asyncio.sleep(STOP_POLL_SECONDS)
-        server.close_resting(loop.time(), LAST_REST_SECONDS)
+        server.close_idle(loop.time(), LAST_REST_SECONDS)
         if not among(server.held_connections(loop.time())):
             return
--- a/packages/fescuedrum/src/fescuedrum/signals.py
+++ b/packages/fescuedrum/src/fescuedrum/signals.py
@@ -8,22 +8,22 @@
 import threading
 
 
-class HeldReload:
+class DeferredReload:
     """Remember that a reload was asked for before anyone could do it."""
 
-    __slots__ = ("asked",)
+    __slots__ = ("requested",)
 
     def __init__(self):
-        self.asked = False
+        self.requested = False
 
     def take(self, *_):
-        self.asked = True
+        self.requested = True
 
 
-held_reload = HeldReload()
+deferred_reload = DeferredReload()
 
 
-def hold_reload():
+def defer_reload():
     """Keep the signal to reload for later.
 
     Loading the libraries takes some tenths of a second. Without a handler the signal
@@ -31,15 +31,15 @@
     """
     if not may_handle_signals():
         return
-    signal.signal(signal.SIGHUP, held_reload.take)
+    signal.signal(signal.SIGHUP, deferred_reload.take)
 
 
-def release_reload():
+def restore_reload_default():
     """Let the signal end the process, as the terminal that closes means it to."""
     if not may_handle_signals():
         return
     signal.signal(signal.SIGHUP, signal.SIG_DFL)
-    if held_reload.asked:
+    if deferred_reload.requested:
         os.kill(os.getpid(), signal.SIGHUP)
 
 
--- a/packages/fescuedrum/src/fescuedrum/versions/apply.py
+++ b/packages/fescuedrum/src/fescuedrum/versions/apply.py
@@ -73,7 +73,7 @@
         that nothing was tried, ChangeUnsettled that it may yet turn out accepted.
         """
         head, row_version = await read_head(self.platform)
-        body = documents.canonical(proposal.document)
+        body = documents.encode_canonical(proposal.document)
         if head.version != proposal.base_version:
             return await self.find_earlier(proposal, head, body)
         base = await self.read_document(head.hash)
--- a/packages/fescuedrum/src/fescuedrum/wire/codec.py
+++ b/packages/fescuedrum/src/fescuedrum/wire/codec.py
@@ -38,7 +38,7 @@
     return frame
 
 
-def body_of(frame):
+def get_body(frame):
     """Return the one body of a frame; None when its kind is not known here."""
     for name in frame.__slots__:
         body = getattr(frame, name)
--- a/packages/fescuedrum/src/fescuedrum/wire/connection.py
+++ b/packages/fescuedrum/src/fescuedrum/wire/connection.py
@@ -85,7 +85,7 @@
         """Tell whether large frames should wait or go another way."""
         return self.unsent_bytes > HIGH_WATER_BYTES
 
-    async def wait_for_room(self):
+    async def wait_until_writable(self):
         """Return once the peer has taken enough of what was sent, or is gone."""
         while self.congested and not self.writer.is_closing():
             self.flush()
@@ -104,7 +104,7 @@
                     frame = await self.receive()
                     if frame is None:
                         raise PeerRefusedError("The peer closed during the handshake.")
-                    self.send_all(side.receive(codec.body_of(frame)))
+                    self.send_all(side.receive(codec.get_body(frame)))
         except TimeoutError as error:
             raise PeerRefusedError("The peer did not finish the handshake.") from error
         self.maximum_frame_bytes = codec.MAXIMUM_FRAME_BYTES
@@ -157,7 +157,7 @@
             self.writer.write_eof()
 
     @property
-    def may_lose(self):
+    def may_lose_data(self):
         """Tell whether the end of the process could lose something that was sent.
 
         TLS can't be half closed, and its own closing fails when a frame crosses it. It
--- a/packages/fescuedrum/src/fescuedrum/wire/handshake.py
+++ b/packages/fescuedrum/src/fescuedrum/wire/handshake.py
@@ -111,7 +111,7 @@
     return min(newest, PROTOCOL)
 
 
-class EntrySide:
+class InitiatorHandshake:
     """Decide the handshake of the side that dials a process of the expected role."""
 
     __slots__ = ("expected", "hello", "keyring", "peer", "protocol", "transcript")
@@ -172,7 +172,7 @@
         return self.transcript is None
 
 
-class AgentSide:
+class ResponderHandshake:
     """Decide the handshake of the side that was dialled."""
 
     __slots__ = ("done", "hello", "keyring", "nonce", "peer", "protocol", "transcript")
--- a/packages/fescuedrum/src/fescuedrum/wire/peers.py
+++ b/packages/fescuedrum/src/fescuedrum/wire/peers.py
@@ -4,7 +4,13 @@
 import secrets
 
 from fescuedrum.tls import Certificates
-from fescuedrum.wire.handshake import AGENT, NONCE_BYTES, AgentSide, EntrySide, Keyring
+from fescuedrum.wire.handshake import (
+    AGENT,
+    NONCE_BYTES,
+    InitiatorHandshake,
+    Keyring,
+    ResponderHandshake,
+)
 
 # Above the 390 nodes of the largest site that is planned for, and below the 1,024
 # files that a process may have open on most systems.
@@ -31,16 +37,16 @@
         self.client_context = None
         self.accepted = 0
 
-    def entry_side(self, addressee, expected=AGENT):
+    def initiate_handshake(self, addressee, expected=AGENT):
         nonce = secrets.token_bytes(NONCE_BYTES)
         hello = self.make_hello()
-        return EntrySide(
+        return InitiatorHandshake(
             self.keyring, hello, addressee=addressee, nonce=nonce, expected=expected
         )
 
-    def agent_side(self):
+    def accept_handshake(self):
         nonce = secrets.token_bytes(NONCE_BYTES)
-        return AgentSide(self.keyring, self.make_hello(), nonce=nonce)
+        return ResponderHandshake(self.keyring, self.make_hello(), nonce=nonce)
 
     async def connect(self, host, port):
         """Return (reader, writer); raise OSError when there is no connection."""
--- a/tests/integration/test_desired_state.py
+++ b/tests/integration/test_desired_state.py
@@ -35,7 +35,7 @@
 def proposal(version, document, **changes):
     data = {
         "base_version": version,
-        "document": schema.dump_changed(document),
+        "document": schema.dump_non_default(document),
         "change": uuid.uuid4().hex,
     }
     return data | changes
@@ -81,7 +81,7 @@
         # The only instance of the bookings stands in this zone.
         document.zones[0].state = documents.ZoneState.OUT
         path = site.directory / "document.json"
-        path.write_bytes(documents.canonical(document))
+        path.write_bytes(documents.encode_canonical(document))
         code, findings, messages = await run_command(site, "check", str(path))
         assert code == EXIT_FINDINGS
         assert [each["id"] for each in findings] == ["change.E001"]
--- a/tests/integration/test_peers.py
+++ b/tests/integration/test_peers.py
@@ -81,7 +81,7 @@
         guesser = await open_connection(agent)
         side = build_entry_side(Keyring([build_key("guess")]), agent.name)
         guesser.send_all(side.open())
-        challenge = codec.body_of(await guesser.receive())
+        challenge = codec.get_body(await guesser.receive())
         assert isinstance(challenge, frames.Challenge)
         guesser.send_all(side.receive(challenge))
         guesser.send(request=order)
@@ -103,7 +103,7 @@
             connection = FrameConnection(reader, writer)
             side = build_agent_side(Keyring([build_key("guess")]))
             while (frame := await connection.receive()) is not None:
-                body = codec.body_of(frame)
+                body = codec.get_body(frame)
                 seen.append(body)
                 # It can't check the entry's proof, so it goes on whatever it was.
                 side.keyring = Keyring([])
--- a/tests/integration/test_process_ends.py
+++ b/tests/integration/test_process_ends.py
@@ -372,7 +372,7 @@
     size = 0
     async with asyncio.timeout(seconds):
         while (frame := await connection.receive()) is not None:
-            match codec.body_of(frame):
+            match codec.get_body(frame):
                 case frames.Chunk(number=at, data=data) if at == number:
                     size += len(data)
                 case frames.End(number=at) as end if at == number:
@@ -544,7 +544,7 @@
     """Return the next body of a kind, or None at the end of the connection."""
     async with asyncio.timeout(5.0):
         while (frame := await connection.receive()) is not None:
-            if isinstance(body := codec.body_of(frame), kind):
+            if isinstance(body := codec.get_body(frame), kind):
                 return body
     return None
 
--- a/tests/support/dialect.py
+++ b/tests/support/dialect.py
@@ -7,7 +7,7 @@
 from fescuedrum.decisions.presence import ListedEndpoint
 from fescuedrum.decisions.ratelimits import Limited, Unlimited
 from fescuedrum.exceptions import HistoryLost, RowNotUnderstood, StoreUnavailable
-from fescuedrum.headers import end_to_end
+from fescuedrum.headers import end_to_end_headers
 from fescuedrum.platform.interfaces import Changes, VersionedRow
 from fescuedrum_gateway.adapter import AnswerHead, CallHead, ZoneOut
 
@@ -115,7 +115,7 @@
             patience=None if patience is None else float(patience),
             prompt_tokens=int(headers.get("Prompt", 0)),
             last_event_id=headers.get("Last-Event", ""),
-            headers=end_to_end(headers, without=REPLACED),
+            headers=end_to_end_headers(headers, without=REPLACED),
         )
 
     def write_call(self, head, send):
@@ -134,7 +134,7 @@
             not_run="Not-Run" in headers,
             signed="Signed" in headers,
             encoded="Content-Encoding" in headers,
-            headers=end_to_end(headers, without=frozenset(("content-length",))),
+            headers=end_to_end_headers(headers, without=frozenset(("content-length",))),
             rate=Limited(float(headers["Rate"])) if "Rate" in headers else Unlimited(),
         )
 
--- a/tests/support/peers.py
+++ b/tests/support/peers.py
@@ -13,7 +13,12 @@
 from fescuedrum.tls import TlsFiles
 from fescuedrum.wire.connection import FrameConnection
 from fescuedrum.wire.gen.frames import ttypes as frames
-from fescuedrum.wire.handshake import NONCE_BYTES, AgentSide, EntrySide, PeerKey
+from fescuedrum.wire.handshake import (
+    NONCE_BYTES,
+    InitiatorHandshake,
+    PeerKey,
+    ResponderHandshake,
+)
 
 NOW = datetime.datetime.now(datetime.UTC)
 DAY = datetime.timedelta(days=1)
@@ -25,12 +30,12 @@
 
 def build_entry_side(keyring, addressee="agent-1", nonce=b"e" * NONCE_BYTES):
     hello = frames.Hello(role="entry", instance="entry-1")
-    return EntrySide(keyring, hello, addressee=addressee, nonce=nonce)
+    return InitiatorHandshake(keyring, hello, addressee=addressee, nonce=nonce)
 
 
 def build_agent_side(keyring, nonce=b"a" * NONCE_BYTES):
     hello = frames.Hello(role="agent", instance="agent-1")
-    return AgentSide(keyring, hello, nonce=nonce)
+    return ResponderHandshake(keyring, hello, nonce=nonce)
 
 
 @contextlib.asynccontextmanager
--- a/tests/unit/test_codec.py
+++ b/tests/unit/test_codec.py
@@ -12,7 +12,7 @@
 def test_a_request_survives_the_wire():
     encoded = codec.encode(request=build_request(body=b"\x00\xff"))
     frame = codec.decode(encoded[codec.LENGTH_BYTES :])
-    assert codec.body_of(frame) == build_request(body=b"\x00\xff")
+    assert codec.get_body(frame) == build_request(body=b"\x00\xff")
 
 
 @given(st.binary(max_size=200))
--- a/tests/unit/test_connection.py
+++ b/tests/unit/test_connection.py
@@ -26,7 +26,7 @@
             near.send(cancel=frames.Cancel(number, 1))
         await asyncio.sleep(0)
         assert len(writes) == 1
-        got = [codec.body_of(await far.receive()).number for _ in range(100)]
+        got = [codec.get_body(await far.receive()).number for _ in range(100)]
     assert got == list(range(100))
 
 
@@ -51,7 +51,7 @@
         async def produce():
             nonlocal sent
             while True:
-                await near.wait_for_room()
+                await near.wait_until_writable()
                 near.send(chunk=frames.Chunk(1, 1, 0, b"x" * 65_536))
                 sent += 65_536
 
@@ -114,7 +114,7 @@
         tasks = [asyncio.create_task(relay.run()) for relay in relays.values()]
         received = {1: 0, 2: 0}
         while True:
-            match codec.body_of(await far.receive()):
+            match codec.get_body(await far.receive()):
                 case frames.Chunk(number=2, data=data):
                     received[2] += len(data)
                     relays[2].grant(len(data))
@@ -149,7 +149,7 @@
     write_strange_member(protocol)
     protocol.writeFieldStop()
     protocol.writeStructEnd()
-    assert codec.body_of(codec.decode(buffer.getvalue())) is None
+    assert codec.get_body(codec.decode(buffer.getvalue())) is None
 
 
 def test_a_newer_peers_unknown_fields_are_skipped():
@@ -167,7 +167,7 @@
     protocol.writeFieldEnd()
     protocol.writeFieldStop()
     protocol.writeStructEnd()
-    assert codec.body_of(codec.decode(buffer.getvalue())) == frames.Cancel(number=12)
+    assert codec.get_body(codec.decode(buffer.getvalue())) == frames.Cancel(number=12)
 
 
 async def test_a_finished_connection_is_read_on_and_sends_no_more():
@@ -183,8 +183,8 @@
         near.finish()
         near.send(cancel=frames.Cancel(2, 1))
         far.send(cancel=frames.Cancel(3, 1))
-        assert codec.body_of(await near.receive()).number == 3
-        assert codec.body_of(await far.receive()).number == 1
+        assert codec.get_body(await near.receive()).number == 3
+        assert codec.get_body(await far.receive()).number == 1
         assert await far.receive() is None
         far.close()
         assert await near.receive() is None
--- a/tests/unit/test_document.py
+++ b/tests/unit/test_document.py
@@ -18,7 +18,7 @@
 def test_the_published_schema_takes_documents_and_refuses_faults():
     schema = json.loads((DOCS / "document.schema.json").read_text())
     jsonschema.Draft202012Validator.check_schema(schema)
-    data = json.loads(documents.canonical(build_full_document()))
+    data = json.loads(documents.encode_canonical(build_full_document()))
     jsonschema.validate(data, schema)
     data["zones"][0]["state"] = "sideways"
     with pytest.raises(jsonschema.ValidationError):
@@ -37,7 +37,7 @@
     }
     loaded = documents.parse(json.dumps(first)).unwrap()
     assert loaded.rank_groups == []
-    assert b"rank_groups" not in documents.canonical(loaded)
+    assert b"rank_groups" not in documents.encode_canonical(loaded)
 
 
 FAULTS = [
--- a/tests/unit/test_explaining.py
+++ b/tests/unit/test_explaining.py
@@ -48,7 +48,7 @@
         "sending failed",
         "request refused",
     ]
-    assert [line.message for line in told.beliefs] == ["group began anew"]
+    assert [line.message for line in told.state_changes] == ["group began anew"]
     assert "group was down" in told.conclusion
     assert "e-1 not run: refused with 503" in told.conclusion
 
@@ -135,7 +135,7 @@
         build_line(1.0, "endpoint unlisted", row="e-2"),
         build_line(1.1, "request sent", **SENT),
     )
-    assert [line.fields["row"] for line in told.beliefs] == ["e-1"]
+    assert [line.fields["row"] for line in told.state_changes] == ["e-1"]
 
 
 def test_the_command_reads_prefixed_lines_and_passes_over_others(tmp_path, capsys):
--- a/tests/unit/test_relay.py
+++ b/tests/unit/test_relay.py
@@ -22,7 +22,7 @@
         self.connection = self
         self.sent = []
 
-    async def wait_for_room(self):
+    async def wait_until_writable(self):
         return
 
     def send(self, kind, number, attempt, **fields):
--- a/tests/unit/test_reload_signal.py
+++ b/tests/unit/test_reload_signal.py
@@ -8,8 +8,8 @@
 
 RELOADED = """
 import asyncio, os, signal
-from fescuedrum.signals import hold_reload
-hold_reload()
+from fescuedrum.signals import defer_reload
+defer_reload()
 os.kill(os.getpid(), signal.SIGHUP)
 from fescuedrum.process import on_reload
 
--- a/tests/unit/test_request_ends.py
+++ b/tests/unit/test_request_ends.py
@@ -8,7 +8,7 @@
 import pytest
 from support.clock import run_paused
 
-from fescuedrum.metrics import LOOP_PROBE_SECONDS, STALLED_SECONDS, watch_loop
+from fescuedrum.metrics import LOOP_PROBE_SECONDS, STALLED_SECONDS, measure_loop_delay
 from fescuedrum.serving import REQUEST_ID
 from fescuedrum_gateway.process.metrics import GatewayMetrics
 from fescuedrum_gateway.request.handler import RequestHandler
@@ -62,7 +62,7 @@
         loop = asyncio.get_running_loop()
         late = []
         histogram = SimpleNamespace(observe=late.append)
-        task = asyncio.create_task(watch_loop(histogram))
+        task = asyncio.create_task(measure_loop_delay(histogram))
         await asyncio.sleep(LOOP_PROBE_SECONDS / 2)
         loop.clock.now += LOOP_PROBE_SECONDS + STALLED_SECONDS
         await asyncio.sleep(2 * LOOP_PROBE_SECONDS)
--- a/tests/unit/test_rooms.py
+++ b/tests/unit/test_rooms.py
@@ -114,4 +114,4 @@
         build_route("c"),
     )
     table = RoutingTable(build_routing_document(routes=routes))
-    assert table.pauses == {"advice": 0.12}
+    assert table.allowed_pauses == {"advice": 0.12}
--- a/tests/unit/test_schema.py
+++ b/tests/unit/test_schema.py
@@ -17,19 +17,19 @@
 
 
 def test_a_document_survives_its_canonical_form():
-    body = documents.canonical(build_document())
-    assert documents.canonical(documents.parse(body).unwrap()) == body
+    body = documents.encode_canonical(build_document())
+    assert documents.encode_canonical(documents.parse(body).unwrap()) == body
 
 
 def test_equal_documents_have_equal_hashes():
-    body = documents.canonical(build_document())
+    body = documents.encode_canonical(build_document())
     shuffled = dict(reversed(json.loads(body).items()))
-    again = documents.canonical(documents.parse(json.dumps(shuffled)).unwrap())
+    again = documents.encode_canonical(documents.parse(json.dumps(shuffled)).unwrap())
     assert documents.document_hash(again) == documents.document_hash(body)
 
 
 def test_a_name_that_stands_twice_is_found():
     zones = [documents.Zone("zone-1"), documents.Zone("zone-1")]
-    body = documents.canonical(build_document(zones=zones))
+    body = documents.encode_canonical(build_document(zones=zones))
     (finding,) = documents.parse(body).unwrap_err()
     assert finding.path == "$.zones[1].name"
--- a/tests/unit/test_serving.py
+++ b/tests/unit/test_serving.py
@@ -8,7 +8,12 @@
 from aiohttp import web
 
 from fescuedrum.decisions.stopping import StopPlan
-from fescuedrum.serving import REST_SECONDS, HeldConnection, HeldServer, deliver
+from fescuedrum.serving import (
+    MINIMUM_IDLE_SECONDS,
+    TrackedConnection,
+    TrackingServer,
+    wait_for_delivery,
+)
 
 
 @contextlib.asynccontextmanager
@@ -19,7 +24,7 @@
         await asyncio.sleep(60)
 
     loop = asyncio.get_running_loop()
-    server = HeldServer(handle, HeldConnection, access_log=None)
+    server = TrackingServer(handle, TrackedConnection, access_log=None)
     listening = await loop.create_server(server, "127.0.0.1", 0)
     port = listening.sockets[0].getsockname()[1]
     _, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -36,9 +41,9 @@
     async with one_connection() as (server, connection):
         transport = connection.transport
         now = asyncio.get_running_loop().time()
-        server.close_resting(now)
+        server.close_idle(now)
         assert not transport.is_closing()
-        server.close_resting(now + REST_SECONDS)
+        server.close_idle(now + MINIMUM_IDLE_SECONDS)
         assert transport.is_closing()
 
 
@@ -52,7 +57,7 @@
         transport = connection.transport
         connection.data_received(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n")
         now = asyncio.get_running_loop().time()
-        server.close_resting(now + REST_SECONDS)
+        server.close_idle(now + MINIMUM_IDLE_SECONDS)
         assert not transport.is_closing()
 
 
@@ -62,10 +67,10 @@
     The time of a body was over in the very turn of the loop in which the stop began.
     """
     loop = asyncio.get_running_loop()
-    server = HeldServer(None, HeldConnection, access_log=None)
+    server = TrackingServer(None, TrackedConnection, access_log=None)
 
     async def read():
-        async with server.body_within(0.05):
+        async with server.body_timeout(0.05):
             await loop.create_future()
 
     task = asyncio.create_task(read())
@@ -74,7 +79,7 @@
     leaving = loop.create_future()
     loop.call_at(limit.when() - 1e-6, leaving.set_result, None)
     await leaving
-    server.leave(loop.time() + 1)
+    server.start_draining(loop.time() + 1)
     with pytest.raises(TimeoutError):
         await task
 
@@ -89,7 +94,7 @@
     async def refuse(_):
         return web.Response(status=503)
 
-    server = HeldServer(refuse, HeldConnection, access_log=None)
+    server = TrackingServer(refuse, TrackedConnection, access_log=None)
     runner = web.ServerRunner(server, shutdown_timeout=0.1)
     await runner.setup()
     await web.TCPSite(runner, "127.0.0.1", 0).start()
@@ -98,6 +103,6 @@
     # Blocking, so that the loop has no turn in which it could accept.
     with socket.create_connection(runner.addresses[0], timeout=1.0) as caller:
         caller.sendall(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n")
-        await deliver(plan, server, runner)
+        await wait_for_delivery(plan, server, runner)
         await runner.cleanup()
         assert caller.recv(64).startswith(b"HTTP/1.1 503 ")
--- a/tests/unit/test_versions.py
+++ b/tests/unit/test_versions.py
@@ -20,7 +20,7 @@
 
 def build_version(number):
     zones = [documents.Zone(f"zone-{index}") for index in range(number)]
-    body = documents.canonical(build_document(zones=zones))
+    body = documents.encode_canonical(build_document(zones=zones))
     return number, documents.document_hash(body), body
 
 
