--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/duty.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/duty.py
@@ -11,9 +11,9 @@
 
 # Time between looks at a group: one that begins anew has its first map again, which is
 # three times as slow as a good one.
-WATCH_SECONDS = 0.25
+CHECK_INTERVAL_SECONDS = 0.25
 # Looks at the pace of streams in between: a pass takes about as long.
-PACE_LOOKS = 5
+SLOWDOWN_CHECKS = 5
 
 
 class GroupSupervisor:
@@ -30,30 +30,30 @@
 
     async def run(self):
         while True:
-            await self.watch_pace()
-            self.judge_lead()
+            await self.wait_for_next_check()
+            self.update_leadership()
             if self.leads:
-                for keeper in self.current_keepers():
-                    await keeper.look()
+                for keeper in self.update_keepers():
+                    await keeper.check_groups()
 
-    async def watch_pace(self):
+    async def wait_for_next_check(self):
         """Pass the time until the next look."""
-        for _ in range(PACE_LOOKS if self.leads else 0):
-            await asyncio.sleep(WATCH_SECONDS / PACE_LOOKS)
+        for _ in range(SLOWDOWN_CHECKS if self.leads else 0):
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS / SLOWDOWN_CHECKS)
             for keeper in self.keepers.values():
-                await keeper.follow_pace()
+                await keeper.check_slowdown()
         if not self.leads:
-            await asyncio.sleep(WATCH_SECONDS)
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
 
-    def judge_lead(self):
+    def update_leadership(self):
         leads = self.gateway.ready and self.gateway.peers.is_leader()
         if leads != self.leads:
             self.leads = leads
             log_event(logger, events.GroupDutyChanged(leads))
             for keeper in self.keepers.values():
-                keeper.forget()
+                keeper.reset()
 
-    def current_keepers(self):
+    def update_keepers(self):
         """Return the keepers of the services that the configuration names now."""
         gateway, kept = self.gateway, {}
         for service in gateway.configuration.table.document.services:
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/groups.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/groups.py
@@ -14,7 +14,7 @@
 
 # Time between looks for groups while one is missing or not whole. A group of a dozen
 # ranks forms within a second of its last rank's return.
-SEARCH_SECONDS = 0.3
+SEARCH_INTERVAL_SECONDS = 0.3
 
 
 @dataclass(slots=True)
@@ -32,7 +32,7 @@
     # Highest version that any rank was given.
     version: int
     # Pass of the newest report.
-    seen_step: int
+    last_seen_step: int
     sample: DemandSample = field(default_factory=DemandSample)
     held_step: int | None = None
     held_since: float = 0.0
@@ -41,7 +41,7 @@
     def ranks(self):
         return len(self.addresses)
 
-    def has_other_map(self, report):
+    def has_different_map(self, report):
         """Tell whether a report shows that another process has changed the map.
 
         Reports lag: one from before the pass of the own change tells of the old map.
@@ -52,34 +52,34 @@
 class GroupFinder:
     """Know the groups of one service; endpoints() lists its endpoints."""
 
-    __slots__ = ("endpoints", "engines", "groups", "loop", "sought_at")
+    __slots__ = ("endpoints", "engines", "groups", "last_search_at", "loop")
 
     def __init__(self, engines, endpoints):
         self.engines = engines
         self.endpoints = endpoints
         self.loop = asyncio.get_running_loop()
         self.groups = {}
-        self.sought_at = float("-inf")
+        self.last_search_at = float("-inf")
 
-    def forget(self):
+    def reset(self):
         """Drop all groups, and look for them at once when they are asked for."""
         self.groups.clear()
-        self.sought_at = float("-inf")
+        self.last_search_at = float("-inf")
 
-    def lose(self, group):
+    def drop(self, group):
         """Drop a group that is not what it was, and look for it at once."""
         self.groups.pop(group.name, None)
-        self.sought_at = float("-inf")
+        self.last_search_at = float("-inf")
 
-    def must_search(self):
+    def needs_search(self):
         known = sum(group.ranks for group in self.groups.values())
         if known and known == len(self.endpoints()):
             return False
-        return self.loop.time() - self.sought_at >= SEARCH_SECONDS
+        return self.loop.time() - self.last_search_at >= SEARCH_INTERVAL_SECONDS
 
     async def search(self, profile):
         """Ask all endpoints to which groups they belong."""
-        self.sought_at = self.loop.time()
+        self.last_search_at = self.loop.time()
         addresses = [(each.host, each.port) for each in self.endpoints()]
         reports = await asyncio.gather(
             *(self.engines.read_report(address) for address in addresses)
@@ -92,16 +92,16 @@
         for (name, epoch), members in found.items():
             known = self.groups.get(name)
             if known is None or known.epoch != epoch:
-                await self.take(name, epoch, members, profile)
+                await self.add_group(name, epoch, members, profile)
 
-    async def take(self, name, epoch, members, profile):
+    async def add_group(self, name, epoch, members, profile):
         """Take a group all of whose ranks were found."""
         _, first = next(iter(members.values()))
         if set(members) != set(range(first.ranks)):
             log_event(logger, GroupNotWhole(name, len(members), first.ranks))
             return
         addresses = {rank: address for rank, (address, _) in members.items()}
-        held = await self.read_held(addresses, first, profile)
+        held = await self.read_map_in_force(addresses, first, profile)
         if held is None:
             return
         version = max(newest_version(report) for _, report in members.values())
@@ -113,11 +113,11 @@
             map_version=first.map_version,
             map_step=first.step,
             version=version,
-            seen_step=first.step,
+            last_seen_step=first.step,
         )
         log_event(logger, GroupFound(name, epoch, len(members), first.map_version))
 
-    async def read_held(self, addresses, report, profile):
+    async def read_map_in_force(self, addresses, report, profile):
         """Return the map in force; None when a rank does not tell."""
         if report.map_version == 0:
             return even.initial_map(profile.experts, report.ranks, profile.layers)
--- a/packages/fescuedrum/src/fescuedrum/decisions/experts/cost.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/experts/cost.py
@@ -34,7 +34,7 @@
     # Seconds that any change must save beyond its other costs.
     risk_seconds: float = 1.0
     # A smaller part of step time than this is noise of the measured loads.
-    least_saving: float = 0.006
+    min_saving: float = 0.006
 
 
 @dataclass(slots=True, frozen=True)
@@ -54,11 +54,11 @@
         return self.saved_seconds - self.cost_seconds
 
     @property
-    def pays(self):
+    def is_worthwhile(self):
         return self.net_seconds > 0
 
 
-def weigh(costs, current, changed, time_now, time_then, lasting):
+def assess(costs, current, changed, current_time, changed_time, valid_seconds):
     """Weigh a change; the times are step times over the ideal, lasting in seconds."""
     fetched = count_fetches(current, changed)
     fetched_bytes = fetched * costs.expert_bytes
@@ -66,8 +66,8 @@
     cost = costs.risk_seconds
     cost += costs.stall_steps * costs.step_seconds
     cost += costs.interference * load_seconds
-    saving = (time_now - time_then) / time_now
-    if saving < costs.least_saving:
+    saving = (current_time - changed_time) / current_time
+    if saving < costs.min_saving:
         saving = 0.0
-    saved = saving * max(lasting - load_seconds, 0.0)
+    saved = saving * max(valid_seconds - load_seconds, 0.0)
     return Balance(fetched, fetched_bytes, load_seconds, cost, saving, saved)
--- a/packages/fescuedrum/src/fescuedrum/decisions/experts/demand.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/experts/demand.py
@@ -6,58 +6,61 @@
 are joined to the mean while they are like it, and replace it when they are not.
 """
 
-JUMP = 0.15
-NEW_WEIGHT = 0.5
-LEAST_COUNTS = 1000
+SHIFT_THRESHOLD = 0.15
+INTERVAL_WEIGHT = 0.5
+MIN_COUNTS = 1000
 
 
 class Demand:
     """Hold the demand of one group's experts, as parts of a layer."""
 
-    __slots__ = ("last", "mean", "moved")
+    __slots__ = ("has_shifted", "last_counts", "mean_shares")
 
     def __init__(self):
-        self.last = None
-        self.mean = None
+        self.last_counts = None
+        self.mean_shares = None
         # Whether the newest interval was unlike what was known before.
-        self.moved = False
+        self.has_shifted = False
 
-    def restart(self):
+    def reset_counts(self):
         """Begin anew with the next counts: what lies between was no common interval."""
-        self.last = None
+        self.last_counts = None
 
-    def forget(self):
+    def reset(self):
         """Drop what is known: demand has moved."""
-        self.last = self.mean = None
+        self.last_counts = self.mean_shares = None
 
     def observe(self, counts, layers):
         """Take counts since the ranks started, all layers one after another.
 
         Return whether the demand is known anew.
         """
-        last, self.last = self.last, counts
+        last, self.last_counts = self.last_counts, counts
         if last is None or len(last) != len(counts):
             return False
         grown = [now - then for now, then in zip(counts, last, strict=True)]
-        if min(grown) < 0 or sum(grown) < LEAST_COUNTS:
+        if min(grown) < 0 or sum(grown) < MIN_COUNTS:
             return False
-        parts = split_parts(grown, layers)
-        self.moved = self.mean is not None and distance(parts, self.mean) > JUMP
-        if self.mean is None or self.moved:
-            self.mean = parts
+        shares = shares_by_layer(grown, layers)
+        self.has_shifted = (
+            self.mean_shares is not None
+            and shifted_share(shares, self.mean_shares) > SHIFT_THRESHOLD
+        )
+        if self.mean_shares is None or self.has_shifted:
+            self.mean_shares = shares
         else:
-            self.mean = blend(self.mean, parts)
+            self.mean_shares = blend(self.mean_shares, shares)
         return True
 
 
-def split_parts(counts, layers):
+def shares_by_layer(counts, layers):
     """Return counts as parts of each layer's sum: parts[layer][expert]."""
     size = len(counts) // layers
     split = [counts[layer * size : (layer + 1) * size] for layer in range(layers)]
     return [[count / max(sum(each), 1) for count in each] for each in split]
 
 
-def distance(one, other):
+def shifted_share(one, other):
     """Return the part of the demand that lies elsewhere, over all layers."""
     differences = (
         abs(mine - theirs)
@@ -69,6 +72,9 @@
 
 def blend(old, new):
     return [
-        [then + NEW_WEIGHT * (now - then) for then, now in zip(olds, news, strict=True)]
+        [
+            then + INTERVAL_WEIGHT * (now - then)
+            for then, now in zip(olds, news, strict=True)
+        ]
         for olds, news in zip(old, new, strict=True)
     ]
--- a/packages/fescuedrum/src/fescuedrum/decisions/experts/even.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/experts/even.py
@@ -18,13 +18,13 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-POWER = 8
-GOAL = 1.06
-GIVERS = 4
-RECEIVERS = 6
-VICTIMS = 3
+LOAD_EXPONENT = 8
+TARGET_TIME = 1.06
+MAX_EXPERTS_TRIED = 4
+MAX_RECEIVERS_TRIED = 6
+MAX_VICTIMS_TRIED = 3
 # Copies that a step without one counts for: it is an order to every rank all the same.
-STEP_COST = 0.5
+MIN_STEP_COPIES = 0.5
 # No layer needs more steps than this many for each rank.
 STEPS_PER_RANK = 3
 
@@ -40,7 +40,7 @@
     # Experts new to a rank that one change may bring in all layers.
     copies: int
     # Part of the sum of powers that a step must take off for each of its copies.
-    least_gain: float
+    min_gain: float
 
 
 @dataclass(slots=True, frozen=True)
@@ -58,62 +58,66 @@
 
     expert: int
     rank: int
-    other: int
+    other_expert: int
     other_rank: int
 
 
-class LayerMender:
+class LayerRebalancer:
     """Mend one layer's map; held is a set of experts for each rank.
 
     copied counts for each rank the experts that are new to it, in all layers.
     """
 
     __slots__ = (
-        "before",
-        "copied",
+        "added_in_layer",
+        "added_in_total",
         "done",
-        "fullest",
         "held",
         "hosts",
-        "ideal",
+        "initial_held",
         "limits",
         "loads",
-        "new",
-        "powers",
+        "max_time",
+        "mean_load",
         "steps_left",
+        "time_powers",
         "times",
     )
 
-    def __init__(self, held, loads, limits, copied):
-        self.before = [frozenset(experts) for experts in held]
+    def __init__(self, held, loads, limits, added_in_total):
+        self.initial_held = [frozenset(experts) for experts in held]
         self.held = [set(experts) for experts in held]
         self.loads = loads
         self.limits = limits
-        self.copied = copied
+        self.added_in_total = added_in_total
         # Experts that are new to a rank in this layer.
-        self.new = [0] * len(held)
+        self.added_in_layer = [0] * len(held)
         self.done = False
         self.steps_left = STEPS_PER_RANK * len(held)
         self.hosts = [set() for _ in loads]
         for rank, experts in enumerate(held):
             for expert in experts:
                 self.hosts[expert].add(rank)
-        self.ideal = sum(loads) / len(held) or 1.0
+        self.mean_load = sum(loads) / len(held) or 1.0
         self.times = [
-            sum(self.piece(expert) for expert in experts) / self.ideal
+            sum(self.load_per_host(expert) for expert in experts) / self.mean_load
             for experts in held
         ]
         # Their powers, and the fullest rank's time over the mean.
-        self.powers = [time**POWER for time in self.times]
-        self.fullest = max(self.times)
+        self.time_powers = [time**LOAD_EXPONENT for time in self.times]
+        self.max_time = max(self.times)
 
-    def piece(self, expert):
+    def load_per_host(self, expert):
         """Return the load that each host of an expert has of it."""
         return self.loads[expert] / len(self.hosts[expert])
 
-    def step(self):
+    def take_step(self):
         """Take the best step; the layer is done when none is worth its copies."""
-        step = self.best_step() if self.steps_left and self.fullest > GOAL else None
+        step = (
+            self.best_step()
+            if self.steps_left and self.max_time > TARGET_TIME
+            else None
+        )
         if step is None:
             self.done = True
             return
@@ -123,159 +127,178 @@
     # Steps
 
     def best_step(self) -> Replicate | Exchange | None:
-        best, best_gain = None, self.limits.least_gain * sum(self.powers)
-        for gain, kind, details in self.candidates():
+        best, best_gain = None, self.limits.min_gain * sum(self.time_powers)
+        for gain, kind, arguments in self.candidates():
             if gain > best_gain:
-                best, best_gain = (kind, details), gain
+                best, best_gain = (kind, arguments), gain
         if best is None:
             return None
-        kind, details = best
-        return kind(*details)
+        kind, arguments = best
+        return kind(*arguments)
 
     def candidates(self) -> Iterator[tuple[float, type, tuple]]:
         """Yield (gain for each copy, kind of step, its fields) of steps to try."""
         lightest = sorted(range(len(self.times)), key=self.times.__getitem__)
-        fullest = self.times.index(self.fullest)
-        receivers = [rank for rank in lightest[:RECEIVERS] if rank != fullest]
-        givers = sorted(self.held[fullest], key=self.piece, reverse=True)
-        reliefs = [(expert, self.relief_gain(expert)) for expert in givers[:GIVERS]]
+        fullest_rank = self.times.index(self.max_time)
+        receivers = [
+            rank for rank in lightest[:MAX_RECEIVERS_TRIED] if rank != fullest_rank
+        ]
+        experts_by_load = sorted(
+            self.held[fullest_rank], key=self.load_per_host, reverse=True
+        )
+        host_gains = [
+            (expert, self.gain_at_hosts(expert))
+            for expert in experts_by_load[:MAX_EXPERTS_TRIED]
+        ]
         for rank in receivers:
-            for expert, relief_gain in reliefs:
+            for expert, gain_at_hosts in host_gains:
                 if expert not in self.held[rank]:
-                    yield from self.replications(expert, rank, relief_gain)
-            yield from self.exchanges(givers, fullest, rank)
+                    yield from self.replications(expert, rank, gain_at_hosts)
+            yield from self.exchanges(experts_by_load, fullest_rank, rank)
 
     def replications(
-        self, expert: int, rank: int, relief_gain: float
+        self, expert: int, rank: int, gain_at_hosts: float
     ) -> Iterator[tuple[float, type, tuple]]:
-        if not self.may_take(rank, expert):
+        if not self.can_add(rank, expert):
             return
-        copies = 1.0 if expert not in self.before[rank] else STEP_COST
+        copies = 1.0 if expert not in self.initial_held[rank] else MIN_STEP_COPIES
         if len(self.held[rank]) < self.limits.places:
-            gain = relief_gain + self.taken_gain(expert, rank, 0.0)
+            gain = gain_at_hosts + self.gain_at_receiver(expert, rank, 0.0)
             yield gain / copies, Replicate, (expert, rank, None)
             return
         spare = [each for each in self.held[rank] if len(self.hosts[each]) > 1]
-        spare.sort(key=self.piece)
-        for victim in spare[:VICTIMS]:
-            gain = relief_gain + self.victim_gain(victim, expert, rank)
-            gain += self.taken_gain(expert, rank, self.piece(victim))
+        spare.sort(key=self.load_per_host)
+        for victim in spare[:MAX_VICTIMS_TRIED]:
+            gain = gain_at_hosts + self.gain_at_victim_hosts(victim, expert, rank)
+            gain += self.gain_at_receiver(expert, rank, self.load_per_host(victim))
             yield gain / copies, Replicate, (expert, rank, victim)
 
     def exchanges(
-        self, givers: list[int], fullest: int, rank: int
+        self, experts_by_load: list[int], fullest_rank: int, rank: int
     ) -> Iterator[tuple[float, type, tuple]]:
-        for expert in givers:
-            if expert in self.held[rank] or not self.may_take(rank, expert):
+        for expert in experts_by_load:
+            if expert in self.held[rank] or not self.can_add(rank, expert):
                 continue
-            piece = self.piece(expert)
-            for other in self.held[rank]:
-                smaller = self.piece(other) < piece
+            piece = self.load_per_host(expert)
+            for other_expert in self.held[rank]:
+                smaller = self.load_per_host(other_expert) < piece
                 if (
                     smaller
-                    and other not in self.held[fullest]
-                    and self.may_take(fullest, other)
+                    and other_expert not in self.held[fullest_rank]
+                    and self.can_add(fullest_rank, other_expert)
                 ):
-                    moved = (piece - self.piece(other)) / self.ideal
-                    gain = self.gain_of(fullest, -moved) + self.gain_of(rank, moved)
-                    copies = (expert not in self.before[rank]) + (
-                        other not in self.before[fullest]
+                    moved = (piece - self.load_per_host(other_expert)) / self.mean_load
+                    gain = self.gain_from_change(
+                        fullest_rank, -moved
+                    ) + self.gain_from_change(rank, moved)
+                    copies = (expert not in self.initial_held[rank]) + (
+                        other_expert not in self.initial_held[fullest_rank]
                     )
-                    details = (expert, fullest, other, rank)
-                    yield gain / max(copies, STEP_COST), Exchange, details
+                    arguments = (expert, fullest_rank, other_expert, rank)
+                    yield gain / max(copies, MIN_STEP_COPIES), Exchange, arguments
 
-    def may_take(self, rank, expert):
+    def can_add(self, rank, expert):
         """Tell whether a rank may get an expert within one change."""
-        if expert in self.before[rank]:
+        if expert in self.initial_held[rank]:
             return True
-        room = self.copied[rank] < self.limits.copies
-        return room and self.new[rank] < self.limits.spare
+        room = self.added_in_total[rank] < self.limits.copies
+        return room and self.added_in_layer[rank] < self.limits.spare
 
     # Gains: by how much a step lowers the sum of powers
 
-    def gain_of(self, rank: int, change: float) -> float:
+    def gain_from_change(self, rank: int, change: float) -> float:
         """Return the gain when one rank's time changes."""
-        return self.powers[rank] - (self.times[rank] + change) ** POWER
+        return self.time_powers[rank] - (self.times[rank] + change) ** LOAD_EXPONENT
 
-    def relief_gain(self, expert: int) -> float:
+    def gain_at_hosts(self, expert: int) -> float:
         """Return the gain at an expert's hosts when one more joins them."""
-        relief = self.relief(expert)
-        return sum(self.gain_of(host, -relief) for host in self.hosts[expert])
+        decrease_per_host = self.decrease_per_host(expert)
+        return sum(
+            self.gain_from_change(host, -decrease_per_host)
+            for host in self.hosts[expert]
+        )
 
-    def taken_gain(self, expert: int, rank: int, freed: float) -> float:
+    def gain_at_receiver(self, expert: int, rank: int, freed: float) -> float:
         """Return the gain, mostly a loss, at the rank that joins an expert's hosts."""
         taken = self.loads[expert] / (len(self.hosts[expert]) + 1) - freed
-        return self.gain_of(rank, taken / self.ideal)
+        return self.gain_from_change(rank, taken / self.mean_load)
 
-    def victim_gain(self, victim: int, expert: int, rank: int) -> float:
+    def gain_at_victim_hosts(self, victim: int, expert: int, rank: int) -> float:
         """Return the gain, a loss, at the victim's other hosts.
 
         Those that also hold the expert have been counted with its relief.
         """
-        burden, relief = self.burden(victim), self.relief(expert)
+        increase_per_host, decrease_per_host = (
+            self.increase_per_host(victim),
+            self.decrease_per_host(expert),
+        )
         gain = 0.0
         for host in self.hosts[victim]:
             if host == rank:
                 continue
             if host in self.hosts[expert]:
-                gain += self.gain_of(host, burden - relief)
-                gain -= self.gain_of(host, -relief)
+                gain += self.gain_from_change(
+                    host, increase_per_host - decrease_per_host
+                )
+                gain -= self.gain_from_change(host, -decrease_per_host)
             else:
-                gain += self.gain_of(host, burden)
+                gain += self.gain_from_change(host, increase_per_host)
         return gain
 
-    def relief(self, expert: int) -> float:
+    def decrease_per_host(self, expert: int) -> float:
         """Return what each host of an expert is spared when one more joins."""
         hosts = len(self.hosts[expert])
-        return self.loads[expert] / (hosts * (hosts + 1)) / self.ideal
+        return self.loads[expert] / (hosts * (hosts + 1)) / self.mean_load
 
-    def burden(self, expert: int) -> float:
+    def increase_per_host(self, expert: int) -> float:
         """Return what each other host of an expert gets when one leaves."""
         hosts = len(self.hosts[expert])
-        return self.loads[expert] / (hosts * (hosts - 1)) / self.ideal
+        return self.loads[expert] / (hosts * (hosts - 1)) / self.mean_load
 
-    def changes(self, step):
+    def time_changes(self, step):
         """Return by how much a step changes the ranks' times."""
-        changes = {}
+        time_changes = {}
         match step:
-            case Exchange(expert, rank, other, other_rank):
-                moved = (self.piece(expert) - self.piece(other)) / self.ideal
-                changes = {rank: -moved, other_rank: moved}
+            case Exchange(expert, rank, other_expert, other_rank):
+                moved = (
+                    self.load_per_host(expert) - self.load_per_host(other_expert)
+                ) / self.mean_load
+                time_changes = {rank: -moved, other_rank: moved}
             case Replicate(expert, rank, victim):
-                self.add_host_change(changes, expert, rank)
+                self.add_replica_changes(time_changes, expert, rank)
                 if victim is not None:
-                    self.drop_host_change(changes, victim, rank)
-        return changes
+                    self.remove_replica_changes(time_changes, victim, rank)
+        return time_changes
 
-    def add_host_change(self, changes, expert, rank):
-        relief = self.relief(expert)
-        piece = self.loads[expert] / (len(self.hosts[expert]) + 1) / self.ideal
+    def add_replica_changes(self, time_changes, expert, rank):
+        decrease_per_host = self.decrease_per_host(expert)
+        piece = self.loads[expert] / (len(self.hosts[expert]) + 1) / self.mean_load
         for host in self.hosts[expert]:
-            changes[host] = changes.get(host, 0.0) - relief
-        changes[rank] = changes.get(rank, 0.0) + piece
+            time_changes[host] = time_changes.get(host, 0.0) - decrease_per_host
+        time_changes[rank] = time_changes.get(rank, 0.0) + piece
 
-    def drop_host_change(self, changes, expert, rank):
-        piece = self.piece(expert) / self.ideal
-        burden = self.burden(expert)
+    def remove_replica_changes(self, time_changes, expert, rank):
+        piece = self.load_per_host(expert) / self.mean_load
+        increase_per_host = self.increase_per_host(expert)
         for host in self.hosts[expert]:
-            change = -piece if host == rank else burden
-            changes[host] = changes.get(host, 0.0) + change
+            change = -piece if host == rank else increase_per_host
+            time_changes[host] = time_changes.get(host, 0.0) + change
 
     def apply(self, step):
-        for rank, change in self.changes(step).items():
+        for rank, change in self.time_changes(step).items():
             self.times[rank] += change
-            self.powers[rank] = self.times[rank] ** POWER
-        self.fullest = max(self.times)
+            self.time_powers[rank] = self.times[rank] ** LOAD_EXPONENT
+        self.max_time = max(self.times)
         match step:
             case Replicate(expert, rank, victim):
                 self.place(expert, rank)
                 if victim is not None:
                     self.remove(victim, rank)
-            case Exchange(expert, rank, other, other_rank):
+            case Exchange(expert, rank, other_expert, other_rank):
                 self.remove(expert, rank)
-                self.remove(other, other_rank)
+                self.remove(other_expert, other_rank)
                 self.place(expert, other_rank)
-                self.place(other, rank)
+                self.place(other_expert, rank)
 
     def place(self, expert, rank):
         self.held[rank].add(expert)
@@ -288,12 +311,12 @@
         self.count(expert, rank, -1)
 
     def count(self, expert, rank, change):
-        if expert not in self.before[rank]:
-            self.new[rank] += change
-            self.copied[rank] += change
+        if expert not in self.initial_held[rank]:
+            self.added_in_layer[rank] += change
+            self.added_in_total[rank] += change
 
 
-class MapMender:
+class MapRebalancer:
     """Mend the layers of a map, a step at a time where most time is lost.
 
     A rank copies the experts of all layers one by one, and the change waits for the
@@ -301,35 +324,37 @@
     one after the other would leave none of them for the last.
     """
 
-    __slots__ = ("menders",)
+    __slots__ = ("rebalancers",)
 
     def __init__(self, held, loads, limits):
-        copied = [0] * len(held[0])
-        self.menders = [
-            LayerMender(layer, layer_loads, limits, copied)
+        added_in_total = [0] * len(held[0])
+        self.rebalancers = [
+            LayerRebalancer(layer, layer_loads, limits, added_in_total)
             for layer, layer_loads in zip(held, loads, strict=True)
         ]
 
     @property
     def held(self):
-        return [mender.held for mender in self.menders]
+        return [rebalancer.held for rebalancer in self.rebalancers]
 
     def run(self):
         """Mend until all layers are even or no step is worth its copies."""
-        while self.run_some(STEPS_PER_RANK):
+        while self.run_steps(STEPS_PER_RANK):
             pass
 
-    def run_some(self, steps):
+    def run_steps(self, steps):
         """Take up to so many steps; tell whether there may be more."""
         for _ in range(steps):
-            active = [mender for mender in self.menders if not mender.done]
+            active = [
+                rebalancer for rebalancer in self.rebalancers if not rebalancer.done
+            ]
             if not active:
                 return False
-            max(active, key=lambda mender: mender.fullest).step()
+            max(active, key=lambda rebalancer: rebalancer.max_time).take_step()
         return True
 
 
-def fullest_time(held, loads):
+def max_to_mean_load(held, loads):
     """Return the fullest rank's load of a layer over the mean rank's."""
     hosts = [0] * len(loads)
     for experts in held:
@@ -349,7 +374,7 @@
     if not total:
         return 1.0
     times = (
-        fullest_time(held, layer) * weight
+        max_to_mean_load(held, layer) * weight
         for held, layer, weight in zip(expert_map, loads, weights, strict=True)
     )
     return sum(times) / total
--- a/packages/fescuedrum/src/fescuedrum/decisions/experts/forecast.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/experts/forecast.py
@@ -19,19 +19,19 @@
 # A trend fades: drift turns round within hours.
 TREND_DAMPING = 0.98
 # A forecast holds until drift has carried this part of the tokens elsewhere.
-DRIFTED = 0.03
+DRIFT_LIMIT = 0.03
 WINDOW_SECONDS = 3600.0
 # Part of all tokens that goes to other experts from one interval to the next; noise
 # and drift stay under 2 %, shifts of popularity are above 10 %.
-JUMP = 0.05
-UNSETTLED_JUMPS = 2
-GAP_INTERVALS = 3
+SHIFT_THRESHOLD = 0.05
+UNSTABLE_SHIFTS = 2
+MAX_GAP_INTERVALS = 3
 DAY_SECONDS = 86400.0
 BUCKET_SECONDS = 300.0
 ERROR_WEIGHT = 0.2
 # A shift of earlier days is expected again while the days have been this near; level
 # and trend are better between shifts, and flapping never repeats so exactly.
-DAILY_ERROR = JUMP / 2
+MAX_DAILY_ERROR = SHIFT_THRESHOLD / 2
 
 
 @dataclass(slots=True, frozen=True)
@@ -39,8 +39,8 @@
     """Hold loads[layer][expert] as parts of a layer, and how many seconds they hold."""
 
     loads: list[list[float]]
-    lasting: float
-    settled: bool
+    valid_seconds: float
+    is_stable: bool
     # Loads of the last interval; of all of the last hour while unsettled.
     recent: list[list[list[float]]]
 
@@ -51,29 +51,29 @@
 
     at: float
     loads: list[list[float]]
-    jumped: bool
+    has_shifted: bool
 
 
 @dataclass(slots=True)
-class DayShape:
+class DailyLoads:
     """Hold the loads of earlier days; today's apart, lest they judge themselves."""
 
     day: int
     today: list[list[float]]
     earlier: list[list[float]] | None = None
 
-    def learn(self, parts, day):
+    def update(self, fractions, day):
         if day != self.day:
             known = self.earlier
             self.earlier = (
                 self.today if known is None else blend(known, self.today, 0.5)
             )
             self.day = day
-            self.today = parts
+            self.today = fractions
             return
-        self.today = blend(self.today, parts, 0.5)
+        self.today = blend(self.today, fractions, 0.5)
 
-    def before(self, day):
+    def loads_before(self, day):
         """Return the loads of the days before a day, or None."""
         return self.earlier if day == self.day else self.today
 
@@ -82,116 +82,124 @@
     """Follow the loads of one group."""
 
     __slots__ = (
-        "daily",
         "daily_error",
-        "interval",
+        "daily_loads",
+        "interval_seconds",
         "level",
         "trend",
         "window",
     )
 
-    def __init__(self, interval):
-        self.interval = interval
+    def __init__(self, interval_seconds):
+        self.interval_seconds = interval_seconds
         self.window = deque()
         self.level = None
         self.trend = None
-        self.daily = {}
+        self.daily_loads = {}
         # None until a day has passed.
         self.daily_error = None
 
     def observe(self, loads, now):
         """Take the loads of the interval that ends now."""
-        parts = [normalise(layer) for layer in loads]
-        if self.window and now - self.window[-1].at > GAP_INTERVALS * self.interval:
+        fractions = [normalise(layer) for layer in loads]
+        if (
+            self.window
+            and now - self.window[-1].at > MAX_GAP_INTERVALS * self.interval_seconds
+        ):
             # What lies before a gap in the reports says nothing of drift or jumps.
             self.window.clear()
             self.level = None
-        last = self.window[-1].loads if self.window else parts
-        jumped = distance(parts, last) > JUMP
-        self.learn_error(parts, now)
-        self.follow(parts, jumped)
-        self.learn_day(parts, now)
-        self.window.append(Observation(now, parts, jumped))
+        last = self.window[-1].loads if self.window else fractions
+        has_shifted = moved_fraction(fractions, last) > SHIFT_THRESHOLD
+        self.update_daily_error(fractions, now)
+        self.update_trend(fractions, has_shifted)
+        self.update_daily_loads(fractions, now)
+        self.window.append(Observation(now, fractions, has_shifted))
         while now - self.window[0].at >= WINDOW_SECONDS:
             self.window.popleft()
 
-    def learn_error(self, parts, now):
-        expected = self.same_hour(now)
+    def update_daily_error(self, fractions, now):
+        expected = self.loads_of_earlier_days(now)
         if expected is None:
             return
-        error = distance(parts, expected)
+        error = moved_fraction(fractions, expected)
         if self.daily_error is None:
             self.daily_error = error
         self.daily_error += ERROR_WEIGHT * (error - self.daily_error)
 
-    def same_hour(self, at):
+    def loads_of_earlier_days(self, at):
         """Return the loads of earlier days at this time of day, or None."""
-        shape = self.daily.get(bucket_of(at))
-        return shape.before(day_of(at)) if shape else None
+        bucket = self.daily_loads.get(bucket_of(at))
+        return bucket.loads_before(day_of(at)) if bucket else None
 
-    def follow(self, parts, jumped):
-        if self.level is None or jumped:
-            self.level = parts
-            self.trend = [[0.0] * len(layer) for layer in parts]
+    def update_trend(self, fractions, has_shifted):
+        if self.level is None or has_shifted:
+            self.level = fractions
+            self.trend = [[0.0] * len(layer) for layer in fractions]
             return
-        expected = self.ahead()
-        level = blend(expected, parts, LEVEL_WEIGHT)
-        step = combine(level, self.level, 1.0, -1.0)
-        damped = combine(self.trend, self.trend, TREND_DAMPING, 0.0)
+        expected = self.expected_loads()
+        level = blend(expected, fractions, LEVEL_WEIGHT)
+        step = weighted_sum(level, self.level, 1.0, -1.0)
+        damped = weighted_sum(self.trend, self.trend, TREND_DAMPING, 0.0)
         self.trend = blend(damped, step, TREND_WEIGHT)
         self.level = level
 
-    def learn_day(self, parts, now):
-        shape = self.daily.get(bucket_of(now))
-        if shape is None:
-            self.daily[bucket_of(now)] = DayShape(day_of(now), parts)
+    def update_daily_loads(self, fractions, now):
+        bucket = self.daily_loads.get(bucket_of(now))
+        if bucket is None:
+            self.daily_loads[bucket_of(now)] = DailyLoads(day_of(now), fractions)
         else:
-            shape.learn(parts, day_of(now))
+            bucket.update(fractions, day_of(now))
 
-    def ahead(self):
+    def expected_loads(self):
         """Return the loads expected for the next interval from level and trend."""
-        loads = combine(self.level, self.trend, 1.0, TREND_DAMPING)
+        loads = weighted_sum(self.level, self.trend, 1.0, TREND_DAMPING)
         return [[max(load, 0.0) for load in layer] for layer in loads]
 
     def forecast(self):
         """Return the forecast for what begins now."""
-        jumps = sum(each.jumped for each in self.window)
+        shifts = sum(each.has_shifted for each in self.window)
         recent = [each.loads for each in self.window]
-        coming = self.coming_shift()
+        coming = self.upcoming_shift()
         if coming is not None:
-            return Forecast(coming, self.lasting_of_day(coming), True, recent[-1:])
-        if jumps >= UNSETTLED_JUMPS:
-            lasting = WINDOW_SECONDS / (1 + jumps)
-            return Forecast(mean_of(recent), lasting, False, recent)
-        lasting = min(WINDOW_SECONDS / (1 + jumps), self.lasting_of_drift())
-        return Forecast(self.ahead(), lasting, True, recent[-1:])
-
-    def lasting_of_drift(self):
-        ahead = combine(self.level, self.trend, 1.0, 1.0)
-        drift = distance(self.level, ahead)
-        return self.interval * DRIFTED / drift if drift else WINDOW_SECONDS
-
-    def first_jump(self):
+            return Forecast(
+                coming, self.seconds_until_change(coming), True, recent[-1:]
+            )
+        if shifts >= UNSTABLE_SHIFTS:
+            valid_seconds = WINDOW_SECONDS / (1 + shifts)
+            return Forecast(mean_loads(recent), valid_seconds, False, recent)
+        valid_seconds = min(WINDOW_SECONDS / (1 + shifts), self.seconds_until_drift())
+        return Forecast(self.expected_loads(), valid_seconds, True, recent[-1:])
+
+    def seconds_until_drift(self):
+        ahead = weighted_sum(self.level, self.trend, 1.0, 1.0)
+        drift = moved_fraction(self.level, ahead)
+        return self.interval_seconds * DRIFT_LIMIT / drift if drift else WINDOW_SECONDS
+
+    def first_shift_at(self):
         """Return the time of the first jump of the last hour, or None."""
-        return next((each.at for each in self.window if each.jumped), None)
+        return next((each.at for each in self.window if each.has_shifted), None)
 
-    def coming_shift(self):
+    def upcoming_shift(self):
         """Return the loads after a shift due in the next interval, or None."""
-        if self.daily_error is None or self.daily_error > DAILY_ERROR:
+        if self.daily_error is None or self.daily_error > MAX_DAILY_ERROR:
             return None
         last = self.window[-1].at
-        now, then = self.same_hour(last), self.same_hour(last + self.interval)
-        if now is None or then is None or distance(now, then) <= JUMP:
+        now, then = (
+            self.loads_of_earlier_days(last),
+            self.loads_of_earlier_days(last + self.interval_seconds),
+        )
+        if now is None or then is None or moved_fraction(now, then) <= SHIFT_THRESHOLD:
             return None
         return then
 
-    def lasting_of_day(self, coming):
+    def seconds_until_change(self, coming):
         """Return the time until earlier days went on to something else."""
-        begin = self.window[-1].at + self.interval
-        ahead = self.interval
+        begin = self.window[-1].at + self.interval_seconds
+        ahead = self.interval_seconds
         while ahead < WINDOW_SECONDS:
-            then = self.same_hour(begin + ahead)
-            if then is not None and distance(coming, then) > DRIFTED:
+            then = self.loads_of_earlier_days(begin + ahead)
+            if then is not None and moved_fraction(coming, then) > DRIFT_LIMIT:
                 break
             ahead += BUCKET_SECONDS
         return ahead
@@ -210,7 +218,7 @@
     return [load / total for load in loads] if total else [1 / len(loads)] * len(loads)
 
 
-def distance(first, second):
+def moved_fraction(first, second):
     """Return the part of the tokens that goes elsewhere, the mean over layers."""
     total = 0.0
     for one, other in zip(first, second, strict=True):
@@ -218,7 +226,7 @@
     return total / (2 * len(first))
 
 
-def combine(first, second, factor, other):
+def weighted_sum(first, second, factor, other):
     return [
         [a * factor + b * other for a, b in zip(one, two, strict=True)]
         for one, two in zip(first, second, strict=True)
@@ -226,11 +234,11 @@
 
 
 def blend(old, new, weight):
-    return combine(old, new, 1 - weight, weight)
+    return weighted_sum(old, new, 1 - weight, weight)
 
 
-def mean_of(series):
+def mean_loads(series):
     total = series[0]
     for each in series[1:]:
-        total = combine(total, each, 1.0, 1.0)
-    return combine(total, total, 1 / len(series), 0.0)
+        total = weighted_sum(total, each, 1.0, 1.0)
+    return weighted_sum(total, total, 1 / len(series), 0.0)
--- a/packages/fescuedrum/src/fescuedrum/decisions/experts/improvement.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/experts/improvement.py
@@ -11,19 +11,19 @@
 from fescuedrum.decisions.experts import split
 
 # Ranks with the least time that are tried as receivers; more found no better moves.
-RECEIVERS = 12
+MAX_TARGET_RANKS = 12
 # Busiest ranks that are tried as givers, one after another: ranks that share experts
 # are equally busy, and often only one of them has something that another can take.
-GIVERS = 6
+MAX_SOURCE_RANKS = 6
 # Estimated moves of one giver that are tried in full.
-TRIALS = 6
+MAX_TRIALS = 6
 # A trial divides only the experts that it touches; sweeps over all follow its success.
-SWEEPS_OF_TRIAL = 2
-SWEEPS_OF_MOVE = 2
+TRIAL_SWEEPS = 2
+MOVE_SWEEPS = 2
 # Over the ideal by this factor, counts of replicas are corrected before the search.
-SHIFTED = 1.5
+COUNT_CORRECTION_RATIO = 1.5
 # A move must lower the sum of squares by this part, else it is not worth its weights.
-LEAST_GAIN = 1e-5
+MIN_GAIN = 1e-5
 
 
 @dataclass(slots=True, frozen=True)
@@ -42,7 +42,7 @@
 
     expert: int
     rank: int
-    other: int
+    other_expert: int
     other_rank: int
     fetches: int = 2
 
@@ -65,10 +65,10 @@
         self.loads = loads
         self.speeds = speeds
         self.slots = slots
-        self.times = split.balance(layer_map, loads, speeds)
-        self.held = self.held_by_rank()
+        self.times = split.balance_shares(layer_map, loads, speeds)
+        self.held = self.tokens_by_rank()
 
-    def held_by_rank(self):
+    def tokens_by_rank(self):
         """Return for each rank its experts and their tokens there."""
         held = [{} for _ in self.speeds]
         for expert, ranks in enumerate(self.layer_map.hosts):
@@ -83,18 +83,18 @@
         """
         ideal = sum(self.loads) / sum(self.speeds)
         fetched = 0
-        if max(self.times) > SHIFTED * ideal:
-            fetched = self.correct_counts(ideal, moves)
+        if max(self.times) > COUNT_CORRECTION_RATIO * ideal:
+            fetched = self.correct_replica_counts(ideal, moves)
         while fetched < moves and max(self.times) > target * ideal:
             more = self.make_best_move()
             if not more:
                 break
             fetched += more
         if fetched:
-            self.times = split.balance(self.layer_map, self.loads, self.speeds)
+            self.times = split.balance_shares(self.layer_map, self.loads, self.speeds)
         return fetched
 
-    def correct_counts(self, ideal, moves):
+    def correct_replica_counts(self, ideal, moves):
         """Give slots of experts with too many replicas to those with too few.
 
         After a shift a hot expert lacks dozens of replicas in a large group. Which
@@ -103,59 +103,65 @@
         """
         hosts = self.layer_map.hosts
         wanted = [max(1, round(load / ideal)) for load in self.loads]
-        spare = [len(ranks) - want for ranks, want in zip(hosts, wanted, strict=True)]
+        surplus = [len(ranks) - want for ranks, want in zip(hosts, wanted, strict=True)]
         fetched = 0
         while fetched < moves:
-            lacking = min(range(len(spare)), key=spare.__getitem__)
-            giving = max(range(len(spare)), key=spare.__getitem__)
-            free = [rank for rank in hosts[giving] if rank not in hosts[lacking]]
-            if spare[lacking] > -2 or spare[giving] <= 0 or not free:
+            lacking_expert = min(range(len(surplus)), key=surplus.__getitem__)
+            surplus_expert = max(range(len(surplus)), key=surplus.__getitem__)
+            free = [
+                rank
+                for rank in hosts[surplus_expert]
+                if rank not in hosts[lacking_expert]
+            ]
+            if surplus[lacking_expert] > -2 or surplus[surplus_expert] <= 0 or not free:
                 break
             rank = min(free, key=lambda each: len(self.held[each]))
-            apply(Replicate(lacking, rank, giving), self.layer_map)
-            spare[lacking] += 1
-            spare[giving] -= 1
+            apply_move(Replicate(lacking_expert, rank, surplus_expert), self.layer_map)
+            surplus[lacking_expert] += 1
+            surplus[surplus_expert] -= 1
             fetched += 1
-        self.times = split.balance(self.layer_map, self.loads, self.speeds)
-        self.held = self.held_by_rank()
+        self.times = split.balance_shares(self.layer_map, self.loads, self.speeds)
+        self.held = self.tokens_by_rank()
         return fetched
 
     def make_best_move(self):
         """Make the first moves that help; return how many fetches they need."""
         live = [rank for rank, speed in enumerate(self.speeds) if speed]
         live.sort(key=self.times.__getitem__)
-        for giver in reversed(live[-GIVERS:]):
-            fetches = self.try_giver(giver, live[:RECEIVERS])
+        for source_rank in reversed(live[-MAX_SOURCE_RANKS:]):
+            fetches = self.try_source_rank(source_rank, live[:MAX_TARGET_RANKS])
             if fetches:
                 return fetches
         return 0
 
-    def try_giver(self, giver, receivers):
-        found = self.estimates(giver, receivers)
+    def try_source_rank(self, source_rank, target_ranks):
+        found = self.estimate_moves(source_rank, target_ranks)
         estimates = sorted(found, key=lambda each: -each.gain)
-        before = self.potential(self.times)
-        for index in range(min(TRIALS, len(estimates))):
-            moves = self.together(estimates[index:])
+        before = self.sum_of_squares(self.times)
+        for index in range(min(MAX_TRIALS, len(estimates))):
+            moves = self.combine_replications(estimates[index:])
             changed = self.layer_map.copy()
             for move in moves:
-                apply(move, changed)
-            times = split.balance(
+                apply_move(move, changed)
+            times = split.balance_shares(
                 changed,
                 self.loads,
                 self.speeds,
-                sweeps=SWEEPS_OF_TRIAL,
-                only=sorted({expert for move in moves for expert in touched(move)}),
+                sweeps=TRIAL_SWEEPS,
+                experts=sorted(
+                    {expert for move in moves for expert in affected_experts(move)}
+                ),
             )
-            if self.potential(times) < before * (1 - LEAST_GAIN):
+            if self.sum_of_squares(times) < before * (1 - MIN_GAIN):
                 self.layer_map = changed
-                self.times = split.balance(
-                    changed, self.loads, self.speeds, sweeps=SWEEPS_OF_MOVE
+                self.times = split.balance_shares(
+                    changed, self.loads, self.speeds, sweeps=MOVE_SWEEPS
                 )
-                self.held = self.held_by_rank()
+                self.held = self.tokens_by_rank()
                 return sum(move.fetches for move in moves)
         return 0
 
-    def together(self, estimates):
+    def combine_replications(self, estimates):
         """Return the first move, and more replicas of its expert if it needs them.
 
         After a shift a hot expert lacks dozens of replicas in a large group; one at a
@@ -179,72 +185,74 @@
                 victims.add(move.victim)
         return moves
 
-    def potential(self, times):
+    def sum_of_squares(self, times):
         return sum(
             time * time * speed for time, speed in zip(times, self.speeds, strict=True)
         )
 
-    def estimates(self, giver, receivers):
-        for expert, tokens in self.held[giver].items():
-            for rank in receivers:
-                if rank != giver and expert not in self.held[rank]:
+    def estimate_moves(self, source_rank, target_ranks):
+        for expert, tokens in self.held[source_rank].items():
+            for rank in target_ranks:
+                if rank != source_rank and expert not in self.held[rank]:
                     yield from self.replications(expert, rank)
-                    yield from self.exchanges(expert, giver, tokens, rank)
+                    yield from self.exchanges(expert, source_rank, tokens, rank)
 
     def replications(self, expert, rank):
         if len(self.held[rank]) < self.slots[rank]:
-            gain = self.gain_of_replica(expert, rank, 0.0)
+            gain = self.replication_gain(expert, rank, 0.0)
             yield Estimate(gain, Replicate(expert, rank, None))
         for victim, tokens in self.held[rank].items():
             hosts = self.layer_map.hosts[victim]
             if len(hosts) < 2:
                 continue
-            gain = self.gain_of_replica(expert, rank, tokens)
-            gain -= self.loss_of_victim(hosts, rank, tokens)
+            gain = self.replication_gain(expert, rank, tokens)
+            gain -= self.eviction_loss(hosts, rank, tokens)
             if gain > 0:
                 yield Estimate(gain, Replicate(expert, rank, victim))
 
-    def gain_of_replica(self, expert, rank, freed):
+    def replication_gain(self, expert, rank, freed):
         """Estimate the gain when an expert's ranks and one more reach one time."""
         hosts = self.layer_map.hosts[expert]
         speed = sum(self.speeds[host] for host in hosts)
         tokens = sum(self.times[host] * self.speeds[host] for host in hosts)
         here = self.times[rank] * self.speeds[rank] - freed
         joint = speed + self.speeds[rank]
-        before = tokens * tokens / speed + self.square(rank, here + freed)
+        before = tokens * tokens / speed + self.square_term(rank, here + freed)
         # The replica can't take more than the expert has.
         taken = min(self.loads[expert], tokens - speed * (tokens + here) / joint)
-        after = (tokens - taken) ** 2 / speed + self.square(rank, here + taken)
+        after = (tokens - taken) ** 2 / speed + self.square_term(rank, here + taken)
         return before - after
 
-    def loss_of_victim(self, hosts, rank, tokens):
+    def eviction_loss(self, hosts, rank, tokens):
         """Estimate the loss when the victim's other ranks take its tokens."""
         others = [host for host in hosts if host != rank]
         part = tokens / len(others)
         return sum(
-            self.square(host, self.times[host] * self.speeds[host] + part)
-            - self.square(host, self.times[host] * self.speeds[host])
+            self.square_term(host, self.times[host] * self.speeds[host] + part)
+            - self.square_term(host, self.times[host] * self.speeds[host])
             for host in others
         )
 
-    def exchanges(self, expert, giver, tokens, rank):
-        busy = self.times[giver] * self.speeds[giver]
+    def exchanges(self, expert, source_rank, tokens, rank):
+        busy = self.times[source_rank] * self.speeds[source_rank]
         idle = self.times[rank] * self.speeds[rank]
-        before = self.square(giver, busy) + self.square(rank, idle)
-        for other, its_tokens in self.held[rank].items():
-            if other in self.held[giver]:
+        before = self.square_term(source_rank, busy) + self.square_term(rank, idle)
+        for other_expert, other_tokens in self.held[rank].items():
+            if other_expert in self.held[source_rank]:
                 continue
-            moved = tokens - its_tokens
-            after = self.square(giver, busy - moved) + self.square(rank, idle + moved)
+            moved = tokens - other_tokens
+            after = self.square_term(source_rank, busy - moved) + self.square_term(
+                rank, idle + moved
+            )
             gain = (before - after) / 2
             if gain > 0:
-                yield Estimate(gain, Exchange(expert, giver, other, rank))
+                yield Estimate(gain, Exchange(expert, source_rank, other_expert, rank))
 
-    def square(self, rank, tokens):
+    def square_term(self, rank, tokens):
         return tokens * tokens / self.speeds[rank]
 
 
-def apply(move, layer_map):
+def apply_move(move, layer_map):
     """Make a move; a new replica starts without a share."""
     match move:
         case Replicate(expert, rank, victim):
@@ -252,17 +260,17 @@
                 remove_host(layer_map, victim, rank)
             layer_map.hosts[expert].append(rank)
             layer_map.shares[expert].append(0.0)
-        case Exchange(expert, rank, other, other_rank):
+        case Exchange(expert, rank, other_expert, other_rank):
             replace_host(layer_map, expert, rank, other_rank)
-            replace_host(layer_map, other, other_rank, rank)
+            replace_host(layer_map, other_expert, other_rank, rank)
 
 
-def touched(move):
+def affected_experts(move):
     match move:
         case Replicate(expert, _, victim):
             return [expert] if victim is None else [expert, victim]
-        case Exchange(expert, _, other, _):
-            return [expert, other]
+        case Exchange(expert, _, other_expert, _):
+            return [expert, other_expert]
 
 
 def remove_host(layer_map, expert, rank):
--- a/packages/fescuedrum/src/fescuedrum/decisions/experts/pace.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/experts/pace.py
@@ -20,86 +20,92 @@
 from collections import deque
 from statistics import median
 
-SLOWER = 1.17
-ALL_SLOWER = 1.05
+SLOWDOWN_RATIO = 1.17
+MIN_SLOWDOWN_RATIO = 1.05
 RECENT_SECONDS = 0.2
 # Where passes are long, as many of them as fit into RECENT_SECONDS else.
 RECENT_PASSES = 3.5
-LEAST_RECENT = 3
+MIN_RECENT_EVENTS = 3
 # How far back events are kept, and how many of them make a pace known.
-KEPT_SECONDS = 1.5
-LEAST_KNOWN = 8
+RETENTION_SECONDS = 1.5
+MIN_RETAINED_EVENTS = 8
 # Time in which what is usual follows longer passes, and shorter ones.
 RISE_SECONDS = 1.5
 FALL_SECONDS = 0.4
 # How far back the present pace goes: half a dozen passes under load.
-CURRENT_SECONDS = 0.6
+CURRENT_WINDOW_SECONDS = 0.6
 
 
 class PassTimer:
     """Follow the time between events of all streams of one service, in seconds."""
 
-    __slots__ = ("changing_until", "gaps", "usual", "usual_at")
+    __slots__ = ("baseline", "baseline_at", "ignored_until", "intervals")
 
     def __init__(self):
         # (time of an event, time since the event before it).
-        self.gaps = deque()
+        self.intervals = deque()
         # Length of passes that are not slow; None until it is known.
-        self.usual = None
-        self.usual_at = 0.0
+        self.baseline = None
+        self.baseline_at = 0.0
         # Until then passes still have the map that is being replaced.
-        self.changing_until = float("-inf")
+        self.ignored_until = float("-inf")
 
-    def observe(self, gap, now):
+    def observe(self, interval, now):
         """Take the time between two events of one stream."""
-        if now < self.changing_until:
+        if now < self.ignored_until:
             return
-        self.gaps.append((now, gap))
-        while self.gaps[0][0] < now - KEPT_SECONDS:
-            self.gaps.popleft()
-        self.follow(gap, now)
+        self.intervals.append((now, interval))
+        while self.intervals[0][0] < now - RETENTION_SECONDS:
+            self.intervals.popleft()
+        self.update_baseline(interval, now)
 
-    def follow(self, gap, now):
+    def update_baseline(self, interval, now):
         """Let what is usual follow a pass that is not slow."""
-        if self.usual is None:
-            if self.is_known(now):
-                self.accept(now)
+        if self.baseline is None:
+            if self.has_enough_events(now):
+                self.set_baseline(now)
             return
-        if gap >= SLOWER * self.usual:
+        if interval >= SLOWDOWN_RATIO * self.baseline:
             return
-        span = RISE_SECONDS if gap > self.usual else FALL_SECONDS
+        span = RISE_SECONDS if interval > self.baseline else FALL_SECONDS
         # Events of one pass come together; only the first of them has a weight.
-        weight = min((now - self.usual_at) / span, 1.0)
-        self.usual += weight * (gap - self.usual)
-        self.usual_at = now
+        weight = min((now - self.baseline_at) / span, 1.0)
+        self.baseline += weight * (interval - self.baseline)
+        self.baseline_at = now
 
-    def accept(self, now):
+    def set_baseline(self, now):
         """Take the present pace for the usual one: demand is not what slows it."""
-        self.usual = self.current_pass_seconds(now)
-        self.usual_at = now
+        self.baseline = self.current_pass_seconds(now)
+        self.baseline_at = now
 
-    def map_changed(self, until):
+    def ignore_events_until(self, until):
         """Pass over events until a new map is in force, in loop time."""
-        self.gaps.clear()
-        self.changing_until = until
+        self.intervals.clear()
+        self.ignored_until = until
 
-    def is_known(self, now):
+    def has_enough_events(self, now):
         """Tell whether there are events enough to notice a slowdown."""
-        current = [gap for at, gap in self.gaps if at >= now - KEPT_SECONDS]
-        return len(current) >= LEAST_KNOWN
+        current = [
+            interval for at, interval in self.intervals if at >= now - RETENTION_SECONDS
+        ]
+        return len(current) >= MIN_RETAINED_EVENTS
 
     def current_pass_seconds(self, now):
         """Return how long passes are at present; None when unknown."""
-        recent = [gap for at, gap in self.gaps if at >= now - CURRENT_SECONDS]
-        return median(recent) if len(recent) >= LEAST_RECENT else None
-
-    def is_slower(self, now):
+        recent = [
+            interval
+            for at, interval in self.intervals
+            if at >= now - CURRENT_WINDOW_SECONDS
+        ]
+        return median(recent) if len(recent) >= MIN_RECENT_EVENTS else None
+
+    def has_slowed_down(self, now):
         """Tell whether the events of the last passes came later than usual."""
-        if self.usual is None:
+        if self.baseline is None:
             return False
-        since = now - max(RECENT_SECONDS, RECENT_PASSES * self.usual)
-        recent = [gap for at, gap in self.gaps if at >= since]
-        if len(recent) < LEAST_RECENT:
+        since = now - max(RECENT_SECONDS, RECENT_PASSES * self.baseline)
+        recent = [interval for at, interval in self.intervals if at >= since]
+        if len(recent) < MIN_RECENT_EVENTS:
             return False
-        is_slow = median(recent) >= SLOWER * self.usual
-        return is_slow and min(recent) >= ALL_SLOWER * self.usual
+        is_slow = median(recent) >= SLOWDOWN_RATIO * self.baseline
+        return is_slow and min(recent) >= MIN_SLOWDOWN_RATIO * self.baseline
--- a/packages/fescuedrum/src/fescuedrum/decisions/experts/packing.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/experts/packing.py
@@ -15,81 +15,84 @@
 from fescuedrum.decisions.experts.placement import LayerMap, rank_times
 
 # A whole expert this near to a rank's rest is taken uncut, to save a slot.
-NEAR_FIT = 0.02
+FIT_TOLERANCE = 0.02
 
 
-class Filling:
+class GreedyFill:
     """Hold the experts that are not wholly placed yet, smallest rest first."""
 
-    __slots__ = ("left", "placed", "spare")
+    __slots__ = ("cuts_left", "placed", "remaining")
 
     def __init__(self, loads, slots):
-        self.left = sorted((load, expert) for expert, load in enumerate(loads))
+        self.remaining = sorted((load, expert) for expert, load in enumerate(loads))
         self.placed = {}
         # Cuts that the slots still allow.
-        self.spare = sum(slots) - len(loads)
+        self.cuts_left = sum(slots) - len(loads)
 
-    def take(self, index):
-        return self.left.pop(index)
+    def pop(self, index):
+        return self.remaining.pop(index)
 
-    def put(self, rank, load, expert):
+    def add(self, rank, load, expert):
         self.placed.setdefault(expert, []).append((rank, load))
 
-    def fill(self, rank, slots, room):
+    def add_pieces(self, rank, slots, room):
         """Put up to as many pieces on a rank as it has slots."""
-        while slots > 1 and self.left and room > 0:
-            index = self.nearest(room / slots, rank)
-            load, expert = self.take(index)
-            if load > room * (1 + NEAR_FIT):
-                self.left.insert(index, (load, expert))
+        while slots > 1 and self.remaining and room > 0:
+            index = self.nearest_index(room / slots, rank)
+            load, expert = self.pop(index)
+            if load > room * (1 + FIT_TOLERANCE):
+                self.remaining.insert(index, (load, expert))
                 break
-            self.put(rank, load, expert)
+            self.add(rank, load, expert)
             room -= load
             slots -= 1
-        if slots and self.left and room > 0:
-            self.fill_last(rank, room)
+        if slots and self.remaining and room > 0:
+            self.add_last_piece(rank, room)
 
-    def nearest(self, size, rank):
+    def nearest_index(self, size, rank):
         """Return the index of the expert whose rest is nearest to the size."""
-        index = bisect.bisect_left(self.left, (size,))
-        if index == len(self.left):
+        index = bisect.bisect_left(self.remaining, (size,))
+        if index == len(self.remaining):
             return index - 1
-        if index and size - self.left[index - 1][0] < self.left[index][0] - size:
+        if (
+            index
+            and size - self.remaining[index - 1][0] < self.remaining[index][0] - size
+        ):
             return index - 1
         return index
 
-    def fill_last(self, rank, room):
-        index = self.nearest(room, rank)
-        load, _ = self.left[index]
-        fits = abs(load - room) <= NEAR_FIT * room
-        cut_from = bisect.bisect_left(self.left, (room,))
-        if not fits and self.spare > 0 and cut_from < len(self.left):
+    def add_last_piece(self, rank, room):
+        index = self.nearest_index(room, rank)
+        load, _ = self.remaining[index]
+        fits = abs(load - room) <= FIT_TOLERANCE * room
+        cut_from = bisect.bisect_left(self.remaining, (room,))
+        if not fits and self.cuts_left > 0 and cut_from < len(self.remaining):
             # The largest is cut: it needs several ranks in any case.
-            load, expert = self.take(-1)
-            self.put(rank, room, expert)
-            self.spare -= 1
-            bisect.insort(self.left, (load - room, expert))
+            load, expert = self.pop(-1)
+            self.add(rank, room, expert)
+            self.cuts_left -= 1
+            bisect.insort(self.remaining, (load - room, expert))
             return
-        load, expert = self.take(index)
-        self.put(rank, load, expert)
+        load, expert = self.pop(index)
+        self.add(rank, load, expert)
 
 
 def pack(loads, topology, layer):
     """Return a new placement of one layer, not yet balanced to the last token."""
-    cut = pack_cutting(loads, topology, layer)
-    equal = pack_equal(loads, topology, layer)
+    cut = pack_with_cuts(loads, topology, layer)
+    equal = pack_equal_replicas(loads, topology, layer)
     return min(
         cut, equal, key=lambda each: max(rank_times(each, loads, topology.speeds))
     )
 
 
-def pack_equal(loads, topology, layer):
+def pack_equal_replicas(loads, topology, layer):
     """Give the hottest experts replicas of equal shares; place the largest first."""
     slots = list(topology.slots[layer])
-    pieces = equal_pieces(loads, sum(slots), sum(1 for count in slots if count))
+    pieces = cut_equal_pieces(loads, sum(slots), sum(1 for count in slots if count))
     waiting = [
         (0.0, -slots[rank], rank)
-        for rank in filling_order(topology, topology.slots[layer])
+        for rank in fill_order(topology, topology.slots[layer])
     ]
     heapq.heapify(waiting)
     placed = {}
@@ -110,7 +113,7 @@
     return to_layer_map(placed, loads)
 
 
-def equal_pieces(loads, slots, ranks):
+def cut_equal_pieces(loads, slots, ranks):
     """Cut the experts with the largest pieces until there is one for each slot."""
     counts = [1] * len(loads)
     largest = [(-load, expert) for expert, load in enumerate(loads)]
@@ -130,19 +133,19 @@
     return sorted(pieces, reverse=True)
 
 
-def pack_cutting(loads, topology, layer):
+def pack_with_cuts(loads, topology, layer):
     """Fill one rank after another to the same time, cutting experts to fit."""
     slots = topology.slots[layer]
     total = sum(loads)
     per_speed = total / sum(topology.speeds)
-    filling = Filling(loads, slots)
-    for rank in filling_order(topology, slots):
-        filling.fill(rank, slots[rank], per_speed * topology.speeds[rank])
-    place_rest(filling, topology, slots)
-    return to_layer_map(filling.placed, loads)
+    fill = GreedyFill(loads, slots)
+    for rank in fill_order(topology, slots):
+        fill.add_pieces(rank, slots[rank], per_speed * topology.speeds[rank])
+    place_remaining(fill, topology, slots)
+    return to_layer_map(fill.placed, loads)
 
 
-def filling_order(topology, slots):
+def fill_order(topology, slots):
     """Order ranks by slots, and in turn from all domains among equals.
 
     An expert's replicas lie on ranks next to each other in this order, so the loss of a
@@ -159,24 +162,24 @@
     return [position[-1] for position in sorted(positions)]
 
 
-def place_rest(filling, topology, slots):
+def place_remaining(fill, topology, slots):
     """Give what is left to the ranks with free slots and the least time."""
     used = [0] * topology.ranks
     tokens = [0.0] * topology.ranks
-    for pieces in filling.placed.values():
+    for pieces in fill.placed.values():
         for rank, load in pieces:
             used[rank] += 1
             tokens[rank] += load
     free = [rank for rank in range(topology.ranks) if used[rank] < slots[rank]]
-    while filling.left:
-        load, expert = filling.take(-1)
-        here = {rank for rank, _ in filling.placed.get(expert, ())}
+    while fill.remaining:
+        load, expert = fill.pop(-1)
+        here = {rank for rank, _ in fill.placed.get(expert, ())}
         open_ranks = [rank for rank in free if rank not in here]
         if not open_ranks:
             # Every free rank holds it already; balancing gives those the rest.
             continue
         rank = min(open_ranks, key=lambda each: tokens[each] / topology.speeds[each])
-        filling.put(rank, load, expert)
+        fill.add(rank, load, expert)
         tokens[rank] += load
         used[rank] += 1
         if used[rank] == slots[rank]:
@@ -210,21 +213,21 @@
             for old in current.hosts[expert]:
                 common[new, old] = common.get((new, old), 0) + 1
     kinds = list(zip(topology.slots[layer], topology.speeds, strict=True))
-    names, taken = {}, set()
+    old_ranks, taken = {}, set()
     for new, old in sorted(common, key=lambda pair: (-common[pair], pair)):
-        if new not in names and old not in taken and kinds[new] == kinds[old]:
-            names[new] = old
+        if new not in old_ranks and old not in taken and kinds[new] == kinds[old]:
+            old_ranks[new] = old
             taken.add(old)
-    name_others(names, taken, kinds)
-    hosts = [[names[rank] for rank in ranks] for ranks in layer_map.hosts]
+    match_remaining_ranks(old_ranks, taken, kinds)
+    hosts = [[old_ranks[rank] for rank in ranks] for ranks in layer_map.hosts]
     return LayerMap(hosts, [shares.copy() for shares in layer_map.shares])
 
 
-def name_others(names, taken, kinds):
+def match_remaining_ranks(old_ranks, taken, kinds):
     free = {}
     for rank, kind in enumerate(kinds):
         if rank not in taken:
             free.setdefault(kind, []).append(rank)
     for rank, kind in enumerate(kinds):
-        if rank not in names:
-            names[rank] = free[kind].pop()
+        if rank not in old_ranks:
+            old_ranks[rank] = free[kind].pop()
--- a/packages/fescuedrum/src/fescuedrum/decisions/experts/placement.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/experts/placement.py
@@ -136,10 +136,10 @@
 
 def count_fetches(old, new):
     """Count (rank, expert) pairs, all layers, whose weights must be fetched."""
-    return sum(len(fetched) for fetched in fetches(old, new))
+    return sum(len(fetched) for fetched in find_fetches(old, new))
 
 
-def fetches(old, new):
+def find_fetches(old, new):
     """Return for each layer the (rank, expert) pairs that the new map adds."""
     found = []
     for layer, layer_map in enumerate(new.layers):
@@ -165,25 +165,25 @@
     fastest = max(topology.speeds)
     bound = ideal = 0.0
     for layer_loads, slots in zip(loads, topology.slots, strict=True):
-        perfect = sum(layer_loads) / capacity
-        bound += least_time(layer_loads, perfect, fastest, sum(slots))
-        ideal += perfect
+        ideal_time = sum(layer_loads) / capacity
+        bound += search_min_time(layer_loads, ideal_time, fastest, sum(slots))
+        ideal += ideal_time
     return bound / ideal
 
 
-def least_time(loads, perfect, fastest, slots):
+def search_min_time(loads, ideal_time, fastest, slots):
     """Search the least time at which the experts' pieces fit the slots."""
-    low, high = perfect, perfect * len(loads)
-    if pieces_needed(loads, low * fastest) <= slots:
+    low, high = ideal_time, ideal_time * len(loads)
+    if count_slots_needed(loads, low * fastest) <= slots:
         return low
     for _ in range(30):
         middle = (low + high) / 2
-        if pieces_needed(loads, middle * fastest) <= slots:
+        if count_slots_needed(loads, middle * fastest) <= slots:
             high = middle
         else:
             low = middle
     return low
 
 
-def pieces_needed(loads, size):
+def count_slots_needed(loads, size):
     return sum(max(1, math.ceil(load / size - 1e-9)) for load in loads)
--- a/packages/fescuedrum/src/fescuedrum/decisions/experts/planner.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/experts/planner.py
@@ -21,14 +21,14 @@
 from fescuedrum.decisions.experts.placement import ExpertMap, LayerMap, measure
 
 # Mending ends here: the rest up to 1 is less than noise would undo.
-TARGET = 1.01
+MOVE_TARGET = 1.01
 # Fewer moves for less balance are weighed as well.
-TARGETS = (1.03, TARGET)
+MOVE_TARGETS = (1.03, MOVE_TARGET)
 # Other shares alone suffice up to here, a few moves up to FRESH.
-ENOUGH = 1.02
-FRESH = 1.05
+SHARES_SUFFICE = 1.02
+MOVES_SUFFICE = 1.05
 # Fetches in one change and layer, as a part of its slots, before a new placement.
-MOVES_PART = 0.25
+MAX_FETCHED_FRACTION = 0.25
 UNSETTLED_SPACING_SECONDS = 1800.0
 CHANGES_AFTER_JUMP = 2
 
@@ -74,18 +74,20 @@
 
     def plan(self, current, now):
         """Return the Plan that saves the most after its cost; None when none pays."""
-        if self.must_restore(current):
+        if self.has_lost_ranks(current):
             return self.restore(current, now)
         forecast = self.forecaster.forecast()
         if self.must_wait(forecast, now):
             return None
-        samples = [forecast.loads] if forecast.settled else forecast.recent
+        samples = [forecast.loads] if forecast.is_stable else forecast.recent
         best = None
-        for kind, expert_map in self.options(current, forecast.loads):
-            plan = self.weigh(kind, current, expert_map, samples, forecast.lasting)
+        for kind, expert_map in self.candidate_maps(current, forecast.loads):
+            plan = self.assess(
+                kind, current, expert_map, samples, forecast.valid_seconds
+            )
             if best is None or plan.balance.net_seconds > best.balance.net_seconds:
                 best = plan
-        if best is None or not best.balance.pays:
+        if best is None or not best.balance.is_worthwhile:
             return None
         self.changes.append(now)
         return best
@@ -94,19 +96,19 @@
         """Tell whether popularity is too restless for another change now."""
         while self.changes and now - self.changes[0] >= WINDOW_SECONDS:
             self.changes.popleft()
-        first_jump = self.forecaster.first_jump()
-        if not self.changes or first_jump is None:
+        first_shift_at = self.forecaster.first_shift_at()
+        if not self.changes or first_shift_at is None:
             return False
-        if not forecast.settled:
+        if not forecast.is_stable:
             return now - self.changes[-1] < UNSETTLED_SPACING_SECONDS
-        since = sum(1 for at in self.changes if at >= first_jump)
+        since = sum(1 for at in self.changes if at >= first_shift_at)
         return since >= CHANGES_AFTER_JUMP
 
-    def weigh(self, kind, current, expert_map, samples, lasting):
-        time_now = self.mean_time(current, samples)
-        time_then = self.mean_time(expert_map, samples)
-        balance = cost.weigh(
-            self.costs, current, expert_map, time_now, time_then, lasting
+    def assess(self, kind, current, expert_map, samples, valid_seconds):
+        current_time = self.mean_time(current, samples)
+        changed_time = self.mean_time(expert_map, samples)
+        balance = cost.assess(
+            self.costs, current, expert_map, current_time, changed_time, valid_seconds
         )
         return Plan(kind, expert_map, balance)
 
@@ -116,25 +118,28 @@
         ]
         return sum(times) / len(times)
 
-    def options(self, current, loads):
+    def candidate_maps(self, current, loads):
         """Yield changes, cheapest first; dear ones only where cheap ones fall short."""
         topology = self.topology
         now_time = measure(current, loads, topology).max_to_ideal
-        if now_time <= 1 + self.costs.least_saving:
+        if now_time <= 1 + self.costs.min_saving:
             return
-        shares = self.change_layers(current, loads, self.other_shares)
+        shares = self.change_layers(current, loads, self.rebalance_shares)
         yield ChangeType.SHARES, shares
-        if measure(shares, loads, topology).max_to_ideal <= ENOUGH:
+        if measure(shares, loads, topology).max_to_ideal <= SHARES_SUFFICE:
             return
         moves = shares
-        for target in TARGETS:
-            mend = functools.partial(self.mend, target=target)
-            moves = self.change_layers(moves, loads, mend)
+        for target in MOVE_TARGETS:
+            move_experts = functools.partial(self.move_experts, target=target)
+            moves = self.change_layers(moves, loads, move_experts)
             yield ChangeType.MOVES, replace(moves, number=current.number + 1)
         reached = measure(moves, loads, topology).max_to_ideal
-        if reached <= FRESH:
+        if reached <= MOVES_SUFFICE:
             return
-        yield ChangeType.PLACEMENT, self.change_layers(current, loads, self.place_anew)
+        yield (
+            ChangeType.PLACEMENT,
+            self.change_layers(current, loads, self.replace_placement),
+        )
 
     def change_layers(self, current, loads, change):
         layers = [
@@ -143,22 +148,22 @@
         ]
         return ExpertMap(current.number + 1, layers)
 
-    def other_shares(self, layer, layer_map, loads):
+    def rebalance_shares(self, layer, layer_map, loads):
         changed = layer_map.copy()
-        split.balance(changed, loads, self.topology.speeds)
+        split.balance_shares(changed, loads, self.topology.speeds)
         return changed
 
-    def mend(self, layer, layer_map, loads, *, target=TARGET):
+    def move_experts(self, layer, layer_map, loads, *, target=MOVE_TARGET):
         slots = self.topology.slots[layer]
         improver = Improver(layer_map.copy(), loads, self.topology.speeds, slots)
-        improver.run(target, int(sum(slots) * MOVES_PART))
+        improver.run(target, int(sum(slots) * MAX_FETCHED_FRACTION))
         return improver.layer_map
 
-    def place_anew(self, layer, layer_map, loads):
+    def replace_placement(self, layer, layer_map, loads):
         fresh = place(loads, self.topology, layer)
         return packing.match_ranks(fresh, layer_map, self.topology, layer)
 
-    def must_restore(self, current):
+    def has_lost_ranks(self, current):
         return any(
             not self.topology.speeds[rank]
             for layer_map in current.layers
@@ -171,20 +176,24 @@
         forecast = self.forecaster.forecast()
         restored = self.change_layers(current, forecast.loads, self.restore_layer)
         self.changes.append(now)
-        return self.weigh(
-            ChangeType.RESTORE, current, restored, [forecast.loads], forecast.lasting
+        return self.assess(
+            ChangeType.RESTORE,
+            current,
+            restored,
+            [forecast.loads],
+            forecast.valid_seconds,
         )
 
     def restore_layer(self, layer, layer_map, loads):
-        kept = without_lost(layer_map, self.topology.speeds)
-        homeless = [expert for expert, ranks in enumerate(kept.hosts) if not ranks]
-        if not homeless:
-            split.balance(kept, loads, self.topology.speeds)
+        kept = remove_lost_ranks(layer_map, self.topology.speeds)
+        unplaced = [expert for expert, ranks in enumerate(kept.hosts) if not ranks]
+        if not unplaced:
+            split.balance_shares(kept, loads, self.topology.speeds)
             return kept
         slots = self.topology.slots[layer]
-        for expert in homeless:
-            make_room(kept, expert, self.topology.speeds, slots)
-        return self.mend(layer, kept, loads)
+        for expert in unplaced:
+            place_unplaced(kept, expert, self.topology.speeds, slots)
+        return self.move_experts(layer, kept, loads)
 
 
 def place(loads, topology, layer):
@@ -192,7 +201,7 @@
     fresh = packing.pack(loads, topology, layer)
     slots = topology.slots[layer]
     improver = Improver(fresh, loads, topology.speeds, slots)
-    improver.run(TARGET, sum(slots))
+    improver.run(MOVE_TARGET, sum(slots))
     return improver.layer_map
 
 
@@ -202,7 +211,7 @@
     return ExpertMap(number, layers)
 
 
-def without_lost(layer_map, speeds):
+def remove_lost_ranks(layer_map, speeds):
     """Return the map without ranks that are lost; the others share their part."""
     hosts, shares = [], []
     for ranks, parts in zip(layer_map.hosts, layer_map.shares, strict=True):
@@ -217,7 +226,7 @@
     return LayerMap(hosts, shares)
 
 
-def make_room(layer_map, expert, speeds, slots):
+def place_unplaced(layer_map, expert, speeds, slots):
     """Place an expert that has no rank: in a free slot, else in a replica's."""
     used = [0] * len(speeds)
     replicas = []
--- a/packages/fescuedrum/src/fescuedrum/decisions/experts/split.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/experts/split.py
@@ -14,7 +14,7 @@
 TOLERANCE = 5e-4
 
 
-def balance(layer_map, loads, speeds, *, sweeps=MAXIMUM_SWEEPS, only=None):
+def balance_shares(layer_map, loads, speeds, *, sweeps=MAXIMUM_SWEEPS, experts=None):
     """Set the shares of a layer's experts, or of some; return the ranks' times."""
     tokens = [0.0] * len(speeds)
     amounts = []
@@ -24,37 +24,39 @@
         for rank, part in zip(ranks, parts, strict=True):
             tokens[rank] += part
         amounts.append(parts)
-    chosen = range(len(loads)) if only is None else only
+    chosen = range(len(loads)) if experts is None else experts
     shared = [expert for expert in chosen if len(layer_map.hosts[expert]) > 1]
-    sweep_until_still(layer_map.hosts, loads, speeds, amounts, tokens, shared, sweeps)
+    sweep_until_converged(
+        layer_map.hosts, loads, speeds, amounts, tokens, shared, sweeps
+    )
     for expert in shared:
         load = loads[expert]
         if load:
             layer_map.shares[expert] = [part / load for part in amounts[expert]]
-    return times_of(tokens, speeds)
+    return to_times(tokens, speeds)
 
 
-def times_of(tokens, speeds):
+def to_times(tokens, speeds):
     return [
         part / speed if speed else 0.0
         for part, speed in zip(tokens, speeds, strict=True)
     ]
 
 
-def sweep_until_still(hosts, loads, speeds, amounts, tokens, shared, sweeps):
+def sweep_until_converged(hosts, loads, speeds, amounts, tokens, shared, sweeps):
     # Alternating directions carry a surplus along a chain of ranks in one sweep.
-    highest = max(times_of(tokens, speeds))
+    highest = max(to_times(tokens, speeds))
     for sweep in range(sweeps):
         for expert in shared if sweep % 2 else reversed(shared):
-            divide(expert, hosts, loads, speeds, amounts, tokens)
-        now_highest = max(times_of(tokens, speeds))
+            divide_expert(expert, hosts, loads, speeds, amounts, tokens)
+        now_highest = max(to_times(tokens, speeds))
         if sweep % 2 and highest - now_highest < TOLERANCE * highest:
             break
         if sweep % 2:
             highest = now_highest
 
 
-def divide(expert, hosts, loads, speeds, amounts, tokens):
+def divide_expert(expert, hosts, loads, speeds, amounts, tokens):
     """Fill one expert's ranks to a common time, as water fills a vessel."""
     ranks = hosts[expert]
     parts = amounts[expert]
--- a/packages/fescuedrum/src/fescuedrum/decisions/experts/stragglers.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/experts/stragglers.py
@@ -10,11 +10,11 @@
 
 SPEED_WEIGHT = 0.3
 # Speeds within this of 1 count as 1: measured times wobble.
-EVEN = 0.05
+NORMAL_TOLERANCE = 0.05
 # Speeds are rounded to these steps, so that wobble alone plans nothing.
-ROUNDING = 0.05
+SPEED_STEP = 0.05
 # A rank slower than this holds the group up whatever its share: it counts as lost.
-LEAST_SPEED = 0.2
+MIN_SPEED = 0.2
 
 
 class SpeedMeter:
@@ -41,7 +41,7 @@
             elif rate:
                 step = rate / usual - self.speeds[rank]
                 # A clear change is no wobble: it is taken at once.
-                weight = 1.0 if abs(step) > 4 * EVEN else SPEED_WEIGHT
+                weight = 1.0 if abs(step) > 4 * NORMAL_TOLERANCE else SPEED_WEIGHT
                 self.speeds[rank] += weight * step
 
     def rounded_speeds(self):
@@ -50,8 +50,8 @@
 
 
 def round_speed(speed):
-    if speed < LEAST_SPEED:
+    if speed < MIN_SPEED:
         return 0.0
-    if abs(speed - 1) <= EVEN:
+    if abs(speed - 1) <= NORMAL_TOLERANCE:
         return 1.0
-    return round(speed / ROUNDING) * ROUNDING
+    return round(speed / SPEED_STEP) * SPEED_STEP
--- a/packages/fescuedrum/src/fescuedrum/decisions/experts/worth.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/experts/worth.py
@@ -10,24 +10,24 @@
 
 from fescuedrum.decisions.experts.even import MapLimits
 
-LONGEST_COPY_SECONDS = 0.2
+MAX_COPY_SECONDS = 0.2
 GAIN_PER_COPY_SECOND = 18.0
-LEAST_GAIN = 0.01
-LEAST_IMPROVEMENT = 1.1
+MIN_GAIN = 0.01
+MIN_IMPROVEMENT = 1.1
 IMPROVEMENT_PER_COPY_SECOND = 4.0
 
 
-def limits_of(profile, ranks):
+def build_map_limits(profile, ranks):
     """Return the bounds of one change of a group with so many ranks."""
-    copies = int(LONGEST_COPY_SECONDS / profile.copy_seconds)
+    copies = int(MAX_COPY_SECONDS / profile.copy_seconds)
     return MapLimits(
         places=profile.places,
         spare=profile.spare,
         copies=max(copies, 1),
-        least_gain=max(GAIN_PER_COPY_SECOND * profile.copy_seconds / ranks, LEAST_GAIN),
+        min_gain=max(GAIN_PER_COPY_SECOND * profile.copy_seconds / ranks, MIN_GAIN),
     )
 
 
-def least_improvement(profile):
+def min_improvement(profile):
     """Return by which factor passes must get shorter for a change to be worth it."""
-    return LEAST_IMPROVEMENT + IMPROVEMENT_PER_COPY_SECOND * profile.copy_seconds
+    return MIN_IMPROVEMENT + IMPROVEMENT_PER_COPY_SECOND * profile.copy_seconds
--- a/packages/fescuedrum/src/fescuedrum/groups/holder.py
+++ b/packages/fescuedrum/src/fescuedrum/groups/holder.py
@@ -90,21 +90,21 @@
     def handle(self, message):
         """Take a message; return the effects."""
         match message:
-            case Refused(floor) if floor > self.fence:
+            case Refused(highest_fence) if highest_fence > self.fence:
                 self.phase = HolderPhase.DEPOSED
-            case Loaded(rank, change) if self.expects(change, HolderPhase.LOADING):
-                return self.take_loaded(rank)
-            case Outcome(change) if self.expects(change, HolderPhase.DECIDING):
+            case Loaded(rank, change) if self.is_expected(change, HolderPhase.LOADING):
+                return self.record_loaded(rank)
+            case Outcome(change) if self.is_expected(change, HolderPhase.DECIDING):
                 self.finish(message)
             case Outcome() if self.phase is HolderPhase.INQUIRING and not message.busy:
                 self.outcome = message
                 self.phase = HolderPhase.IDLE
         return []
 
-    def expects(self, change, phase):
+    def is_expected(self, change, phase):
         return self.phase is phase and change == self.change
 
-    def take_loaded(self, rank):
+    def record_loaded(self, rank):
         self.loaded.add(rank)
         if len(self.loaded) < len(self.ranks):
             return []
--- a/packages/fescuedrum/src/fescuedrum/groups/member.py
+++ b/packages/fescuedrum/src/fescuedrum/groups/member.py
@@ -19,9 +19,9 @@
     HoldAfter,
     Load,
     Loaded,
+    RankState,
     Refused,
     Release,
-    Standing,
     SwitchAt,
     ToArbiter,
     ToEngine,
@@ -51,15 +51,15 @@
 
     __slots__ = (
         "bases",
-        "decided",
-        "floor",
+        "decision_in_force",
+        "highest_fence",
         "hold_lead_steps",
         "hold_step",
-        "in_force",
         "incarnation",
+        "last_decision",
         "loaded",
-        "pending",
-        "promised",
+        "pending_change",
+        "promised_epoch",
         "rank",
     )
 
@@ -68,35 +68,35 @@
         self.rank = rank
         self.incarnation = incarnation
         self.hold_lead_steps = hold_lead_steps
-        self.floor = 0
-        self.promised = 0
+        self.highest_fence = 0
+        self.promised_epoch = 0
         self.loaded = set(engine.loaded)
         # change: the change whose map it starts from, as the holder saw it.
         self.bases = {}
-        self.pending = engine.held
+        self.pending_change = engine.held
         self.hold_step = engine.hold_step if engine.held else None
         # What the engine runs or will run shows what was decided of its change.
-        self.in_force = Decision(0, engine.change, True, engine.step)
-        self.decided = self.in_force
+        self.decision_in_force = Decision(0, engine.change, True, engine.step)
+        self.last_decision = self.decision_in_force
 
     def handle(self, message):
         """Take a message; return the effects."""
         match message:
             case Load():
-                return self.load(message)
+                return self.handle_load(message)
             case Discover(arbiter):
-                return [ToArbiter(self.standing(arbiter))]
+                return [ToArbiter(self.rank_state(arbiter))]
             case Arm():
-                return self.arm(message)
+                return self.handle_arm(message)
             case Decision():
-                return self.decide(message)
+                return self.handle_decision(message)
         return []
 
-    def load(self, order):
-        if order.fence < self.floor:
-            return [ToHolder(Refused(self.floor))]
-        self.floor = order.fence
-        if order.change <= self.decided.change:
+    def handle_load(self, order):
+        if order.fence < self.highest_fence:
+            return [ToHolder(Refused(self.highest_fence))]
+        self.highest_fence = order.fence
+        if order.change <= self.last_decision.change:
             return []
         self.bases = {order.change: order.base}
         if order.change in self.loaded:
@@ -105,26 +105,26 @@
 
     def fetched(self, change):
         """Take the engine's word that it has the weights of a change."""
-        if change <= self.decided.change:
+        if change <= self.last_decision.change:
             return []
         self.loaded.add(change)
         return [ToHolder(Loaded(self.rank, change))]
 
-    def standing(self, arbiter):
-        return Standing(
+    def rank_state(self, arbiter):
+        return RankState(
             self.rank,
             self.incarnation,
             arbiter,
-            self.promised,
-            self.pending,
-            self.decided,
+            self.promised_epoch,
+            self.pending_change,
+            self.last_decision,
         )
 
-    def arm(self, order):
-        if order.epoch < self.promised:
+    def handle_arm(self, order):
+        if order.epoch < self.promised_epoch:
             return []
-        self.promised = order.epoch
-        effects = self.settle(order.previous) if order.previous else []
+        self.promised_epoch = order.epoch
+        effects = self.apply_decision(order.previous) if order.previous else []
         return effects + self.answer(order.change)
 
     def answer(self, change):
@@ -132,26 +132,26 @@
         known = self.known_decision(change)
         if known is not None:
             return [self.armed_answer(change, None, known)]
-        is_old = change < max(self.pending, self.decided.change)
-        waits_for_older = 0 < self.pending < change
-        if self.pending == change and self.hold_step is not None:
+        is_old = change < max(self.pending_change, self.last_decision.change)
+        waits_for_older = 0 < self.pending_change < change
+        if self.pending_change == change and self.hold_step is not None:
             return [self.armed_answer(change, self.hold_step, None)]
-        if is_old or waits_for_older or not self.has_whole(change):
+        if is_old or waits_for_older or not self.has_usable_weights(change):
             return [self.armed_answer(change, None, None)]
-        self.pending = change
+        self.pending_change = change
         return [ToEngine(HoldAfter(change, self.hold_lead_steps))]
 
-    def has_whole(self, change):
+    def has_usable_weights(self, change):
         """Tell whether the weights are here and belong to the map in force.
 
         A holder may have been told that a change stays which a later arbiter found
         armed at all ranks and switched; its next plan starts from the wrong map then.
         """
-        base = self.bases.get(change, self.in_force.change)
-        return change in self.loaded and base == self.in_force.change
+        base = self.bases.get(change, self.decision_in_force.change)
+        return change in self.loaded and base == self.decision_in_force.change
 
     def known_decision(self, change):
-        for decision in (self.decided, self.in_force):
+        for decision in (self.last_decision, self.decision_in_force):
             if decision.change == change:
                 return decision
         return None
@@ -159,57 +159,65 @@
     def armed_answer(self, change, hold_step, decision):
         return ToArbiter(
             Armed(
-                self.rank, self.incarnation, self.promised, change, hold_step, decision
+                self.rank,
+                self.incarnation,
+                self.promised_epoch,
+                change,
+                hold_step,
+                decision,
             )
         )
 
     def held(self, change, hold_step):
         """Take the engine's word that it will stop before a step for a change."""
-        if change == self.pending:
+        if change == self.pending_change:
             self.hold_step = hold_step
             return [self.armed_answer(change, hold_step, None)]
         known = self.known_decision(change)
         if known is not None and known.committed:
             # The order to switch is under way or lost; to release would undo it.
             return [ToEngine(SwitchAt(change, known.step))]
-        if change <= self.decided.change:
+        if change <= self.last_decision.change:
             # An order to hold came after the decision: the engine must go on.
             return [ToEngine(Release(change))]
-        if not self.pending:
+        if not self.pending_change:
             # The order of an earlier agent of this rank, which ended before its word.
-            self.pending = change
+            self.pending_change = change
             self.hold_step = hold_step
             return self.tick()
         return []
 
-    def decide(self, decision):
+    def handle_decision(self, decision):
         # An older epoch's decision may be late, and another may have been made since;
         # one meant for an earlier agent of this rank may predate a promise it forgot.
-        if decision.epoch < self.promised or decision.incarnation != self.incarnation:
+        if (
+            decision.epoch < self.promised_epoch
+            or decision.incarnation != self.incarnation
+        ):
             return []
-        return self.settle(decision)
+        return self.apply_decision(decision)
 
-    def settle(self, decision):
+    def apply_decision(self, decision):
         change = decision.change
-        if not self.pending or change != self.pending:
-            if not decision.committed and change > self.decided.change:
-                self.decided = decision
+        if not self.pending_change or change != self.pending_change:
+            if not decision.committed and change > self.last_decision.change:
+                self.last_decision = decision
                 self.loaded.discard(change)
             return []
-        self.pending = 0
+        self.pending_change = 0
         self.hold_step = None
-        if change > self.decided.change:
-            self.decided = decision
+        if change > self.last_decision.change:
+            self.last_decision = decision
         if decision.committed:
-            self.in_force = decision
+            self.decision_in_force = decision
             return [ToEngine(SwitchAt(change, decision.step))]
         self.loaded.discard(change)
         return [ToEngine(Release(change))]
 
     def tick(self):
         """Ask again for the decision that this rank waits for."""
-        if not self.pending:
+        if not self.pending_change:
             return []
         if self.hold_step is None:
-            return [ToEngine(HoldAfter(self.pending, self.hold_lead_steps))]
-        return [ToArbiter(Ask(self.rank, self.incarnation, self.pending))]
+            return [ToEngine(HoldAfter(self.pending_change, self.hold_lead_steps))]
+        return [ToArbiter(Ask(self.rank, self.incarnation, self.pending_change))]
--- a/packages/fescuedrum/src/fescuedrum/groups/messages.py
+++ b/packages/fescuedrum/src/fescuedrum/groups/messages.py
@@ -53,7 +53,7 @@
 class Refused:
     """Tell a holder that a higher fencing number has been seen."""
 
-    floor: int
+    highest_fence: int
 
 
 @dataclass(slots=True, frozen=True)
@@ -89,15 +89,15 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Standing:
+class RankState:
     """Answer Discover with the highest promise, what waits and what was decided."""
 
     rank: int
     incarnation: int
     arbiter: int
-    promised: int
-    pending: int
-    decided: Decision | None
+    promised_epoch: int
+    pending_change: int
+    last_decision: Decision | None
 
 
 @dataclass(slots=True, frozen=True)
--- a/packages/fescuedrum/src/fescuedrum/groups/switching.py
+++ b/packages/fescuedrum/src/fescuedrum/groups/switching.py
@@ -35,24 +35,24 @@
 HOLDING_RANK = 0
 # Passes between the last one known and the one of the switch, where their length is
 # not known: a report of a fifth of a second ago is four calm passes old.
-STEPS_AHEAD = 6
+MAX_STEPS_AHEAD = 6
 # The same at the least: the pass that is under way can't be held.
-LEAST_STEPS_AHEAD = 2
+MIN_STEPS_AHEAD = 2
 # Tries of an order that gets no answer: when a third are lost, one change of a dozen
 # ranks in a hundred then fails for it.
-TRIES = 8
+ORDER_ATTEMPTS = 8
 # Tries of a hold whose pass had begun already.
-HOLD_TRIES = 4
+HOLD_ATTEMPTS = 4
 # Pause before an order is tried again.
 RETRY_SECONDS = 0.02
 # Pause between rounds of orders that must succeed sooner or later. Ranks that began
 # anew refuse at once, and their reports show it a fifth of a second later; without a
 # pause thousands of orders are given in that time.
-ROUND_SECONDS = 0.25
+RETRY_ROUND_SECONDS = 0.25
 # How much higher the version of a map is that is given after a refused one.
-VOID_STEP = 1000
+VOID_VERSION_STEP = 1000
 # Pause before a rank that still copies is armed again.
-ARM_SECONDS = 0.05
+ARM_RETRY_SECONDS = 0.05
 # Beyond the computed time of the copies, a rank gets this long to finish them.
 COPY_SLACK_SECONDS = 0.5
 
@@ -73,10 +73,10 @@
 
     version: int
     held: list[list[list[int]]]
-    before: list[list[list[int]]]
+    previous: list[list[list[int]]]
     copy_seconds: float
     # Passes between the last one known and the first one with the new map.
-    steps_ahead: int = STEPS_AHEAD
+    steps_ahead: int = MAX_STEPS_AHEAD
 
 
 def steps_ahead(report_lag, pass_seconds):
@@ -87,12 +87,12 @@
     costs another order: the hold of a pass that has begun is refused.
     """
     if pass_seconds is None:
-        return STEPS_AHEAD
+        return MAX_STEPS_AHEAD
     begun = math.ceil(report_lag / pass_seconds)
-    return min(max(begun + 1, LEAST_STEPS_AHEAD), STEPS_AHEAD)
+    return min(max(begun + 1, MIN_STEPS_AHEAD), MAX_STEPS_AHEAD)
 
 
-class Switch:
+class MapSwitch:
     """Carry out one change of one group; addresses are by rank."""
 
     __slots__ = (
@@ -120,21 +120,21 @@
         prepared = await self.give_all(
             PrepareMap(self.change.version, self.change.held)
         )
-        if not all_taken(prepared):
+        if not all_accepted(prepared):
             return SwitchResult.ABANDONED
         await asyncio.sleep(self.change.copy_seconds)
-        if not await self.hold():
+        if not await self.hold_pass():
             return SwitchResult.ABANDONED
         armed = await self.arm_all()
-        if all_taken(armed):
-            return await self.release(SwitchResult.SWITCHED)
+        if all_accepted(armed):
+            return await self.release_pass(SwitchResult.SWITCHED)
         return await self.abandon(armed)
 
     # Orders
 
     async def send_order(self, rank, order):
         """Give an order until it is answered, or TRIES times."""
-        for attempt in range(TRIES):
+        for attempt in range(ORDER_ATTEMPTS):
             if attempt:
                 await asyncio.sleep(RETRY_SECONDS)
             result = await self.engines.send_order(
@@ -154,9 +154,9 @@
 
     # Holding
 
-    async def hold(self):
+    async def hold_pass(self):
         """Hold a pass that is still to come; tell whether that is certain."""
-        for _ in range(HOLD_TRIES):
+        for _ in range(HOLD_ATTEMPTS):
             report = await self.engines.read_report(self.addresses[HOLDING_RANK])
             if report is None or report.epoch != self.epoch:
                 return False
@@ -166,11 +166,11 @@
                     return True
                 case OrderResult.UNANSWERED:
                     # It may hold, or will: let it go lest the group stands still.
-                    await self.release(SwitchResult.ABANDONED)
+                    await self.release_pass(SwitchResult.ABANDONED)
                     return False
         return False
 
-    async def release(self, result):
+    async def release_pass(self, result):
         """Let the held pass begin; return result, or that the epoch ended.
 
         The group stands still until then, so this is tried for as long as it takes.
@@ -179,11 +179,11 @@
             given = await self.send_order(HOLDING_RANK, ReleasePass(self.step))
             if given is OrderResult.ACCEPTED:
                 return result
-            if await self.epoch_ended():
+            if await self.has_epoch_ended():
                 return SwitchResult.EPOCH_ENDED
-            await asyncio.sleep(ROUND_SECONDS)
+            await asyncio.sleep(RETRY_ROUND_SECONDS)
 
-    async def epoch_ended(self):
+    async def has_epoch_ended(self):
         """Tell whether any rank says that the group began anew."""
         reports = await asyncio.gather(
             *(self.engines.read_report(each) for each in self.addresses.values())
@@ -205,7 +205,7 @@
             result = await self.send_order(rank, order)
             if result is not OrderResult.REFUSED or self.loop.time() >= latest:
                 return result
-            await asyncio.sleep(ARM_SECONDS)
+            await asyncio.sleep(ARM_RETRY_SECONDS)
 
     async def abandon(self, armed):
         """Take all armings back before the pass may begin."""
@@ -223,14 +223,14 @@
                 rank for rank, is_done in zip(waiting, done, strict=True) if not is_done
             ]
             if not waiting:
-                return await self.release(SwitchResult.ABANDONED)
-            if await self.epoch_ended():
+                return await self.release_pass(SwitchResult.ABANDONED)
+            if await self.has_epoch_ended():
                 return SwitchResult.EPOCH_ENDED
             # A rank that was given a higher version by another process refuses ours.
-            self.void_version += VOID_STEP
-            await asyncio.sleep(ROUND_SECONDS)
+            self.void_version += VOID_VERSION_STEP
+            await asyncio.sleep(RETRY_ROUND_SECONDS)
 
-    def disarmed_version(self, rank):
+    def version_to_disarm(self, rank):
         """Return the version that a rank may be armed with; None for none."""
         return self.change.version
 
@@ -240,16 +240,16 @@
         An arming that got no answer may come yet, also where a second one was answered
         or refused: every rank is made to forget the version that it names.
         """
-        version = self.disarmed_version(rank)
+        version = self.version_to_disarm(rank)
         if version is not None:
             disarmed = await self.send_order(rank, DisarmMap(version))
             if disarmed is not OrderResult.ACCEPTED:
                 return False
-        void = PrepareMap(self.void_version, self.change.before)
+        void = PrepareMap(self.void_version, self.change.previous)
         return await self.send_order(rank, void) is OrderResult.ACCEPTED
 
 
-class LeftSwitch(Switch):
+class AbandonedSwitch(MapSwitch):
     """Take over a change that another process has left halfway."""
 
     __slots__ = ("reports",)
@@ -262,7 +262,7 @@
         self.step = first.held_step
         self.reports = reports
 
-    def disarmed_version(self, rank):
+    def version_to_disarm(self, rank):
         """Return what the rank has prepared.
 
         The version in use can't be disarmed: the order would be refused for ever, and
@@ -272,7 +272,7 @@
         return report.armed_version or report.prepared_version
 
 
-async def settle(engines, addresses, reports, held):
+async def recover_held_group(engines, addresses, reports, held):
     """Release a group that was left held; tell whether it goes on.
 
     A process that dies between holding and releasing leaves the group standing. Where
@@ -282,9 +282,9 @@
     """
     first = reports[HOLDING_RANK]
     log_event(logger, HeldGroupSettled(first.held_step))
-    switch = LeftSwitch(engines, addresses, reports, held)
+    switch = AbandonedSwitch(engines, addresses, reports, held)
     if all(report.armed_version is not None for report in reports.values()):
-        return await switch.release(SwitchResult.SWITCHED)
+        return await switch.release_pass(SwitchResult.SWITCHED)
     return await switch.abandon({})
 
 
@@ -294,5 +294,5 @@
     return max(version for version in told if version is not None)
 
 
-def all_taken(results):
+def all_accepted(results):
     return all(result is OrderResult.ACCEPTED for result in results.values())
--- a/tests/unit/test_group_changes.py
+++ b/tests/unit/test_group_changes.py
@@ -95,11 +95,11 @@
 class LowestHorizon(Arbiter):
     """Switch at the lowest horizon, which a faster rank has passed."""
 
-    def settle(self, now):
+    def decide(self, now):
         horizons = [each.hold_step for each in self.round.answers.values()]
         if None in horizons:
-            return self.conclude(False, 0, now)
-        return self.conclude(True, min(horizons), now)
+            return self.record_decision(False, 0, now)
+        return self.record_decision(True, min(horizons), now)
 
 
 class DecidesAlone(Arbiter):
@@ -114,47 +114,49 @@
 class ForgetsToRaise(Arbiter):
     """Take the epoch that the arbiter before had."""
 
-    def stand(self, standing, now):
-        lower = dataclasses.replace(standing, promised=max(0, standing.promised - 1))
-        return super().stand(lower, now)
+    def handle_rank_state(self, rank_state, now):
+        lower = dataclasses.replace(
+            rank_state, promised_epoch=max(0, rank_state.promised_epoch - 1)
+        )
+        return super().handle_rank_state(lower, now)
 
 
 class OverridesKnown(Arbiter):
     """Decide afresh although a rank knows the decision."""
 
-    def settle(self, now):
+    def decide(self, now):
         horizons = [each.hold_step or 0 for each in self.round.answers.values()]
-        return self.conclude(True, max(horizons), now)
+        return self.record_decision(True, max(horizons), now)
 
 
 class AnswersStay(Arbiter):
     """Tell a rank that asks of an unknown change that the old map stays."""
 
-    def ask(self, question, now):
+    def handle_ask(self, question, now):
         if question.change not in self.decisions:
             decision = Decision(
                 self.epoch, question.change, False, 0, question.incarnation
             )
             return [ToRank(question.rank, decision)]
-        return super().ask(question, now)
+        return super().handle_ask(question, now)
 
 
 class DecidesWithoutLast(Arbiter):
     """Decide when all ranks but one have answered."""
 
-    def armed(self, answer, now):
-        effects = super().armed(answer, now)
+    def handle_armed(self, answer, now):
+        effects = super().handle_armed(answer, now)
         current = self.round
         if current and len(current.answers) == len(self.ranks) - 1:
-            return effects + self.settle(now)
+            return effects + self.decide(now)
         return effects
 
 
 class TakesOldEpochs(Participant):
     """Take a decision of an earlier arbiter after a promise to a later one."""
 
-    def decide(self, decision):
-        return self.settle(decision)
+    def handle_decision(self, decision):
+        return self.apply_decision(decision)
 
 
 class ArmsUnloaded(Participant):
@@ -169,8 +171,8 @@
     """Go on past the horizon when no decision has come."""
 
     def tick(self):
-        if self.pending:
-            change, self.pending = self.pending, 0
+        if self.pending_change:
+            change, self.pending_change = self.pending_change, 0
             return [ToEngine(SwitchAt(change, self.hold_step or 0))]
         return []
 
@@ -183,7 +185,7 @@
         super().__init__(rank, incarnation, forgotten, **options)
 
     def held(self, change, hold_step):
-        return super().held(change, hold_step) if change == self.pending else []
+        return super().held(change, hold_step) if change == self.pending_change else []
 
 
 class AnswersBeforeHold(Participant):
@@ -191,7 +193,7 @@
 
     def answer(self, change):
         effects = super().answer(change)
-        if self.pending == change and self.hold_step is None:
+        if self.pending_change == change and self.hold_step is None:
             self.hold_step = 1
             effects.append(self.armed_answer(change, 1, None))
         return effects
@@ -200,9 +202,9 @@
 class SwitchesAtOnce(Participant):
     """Use the new map from the next step on, whatever the decision says."""
 
-    def settle(self, decision):
+    def apply_decision(self, decision):
         at_once = dataclasses.replace(decision, step=0)
-        return super().settle(at_once)
+        return super().apply_decision(at_once)
 
 
 DEFECTS = {
@@ -246,7 +248,7 @@
     arbiter = Arbiter(range(3), 1)
     arbiter.start()
     for member in members:
-        arbiter.handle(member.standing(1), 0.0)
+        arbiter.handle(member.rank_state(1), 0.0)
     assert arbiter.ready
     assert arbiter.tick(1.0) == []
     assert [effect for member in members for effect in member.tick()] == []
--- a/tests/unit/test_group_keeper.py
+++ b/tests/unit/test_group_keeper.py
@@ -12,7 +12,7 @@
 from fescuedrum.decisions.experts.pace import PassTimer
 from fescuedrum.decisions.presence import EndpointPresence
 from fescuedrum.groups.engines import HoldPass, PrepareMap
-from fescuedrum.groups.switching import MapChange, Switch, SwitchResult
+from fescuedrum.groups.switching import MapChange, MapSwitch, SwitchResult
 from fescuedrum_gateway.process.demand import DemandSample
 from fescuedrum_gateway.process.keeper import build_keeper
 from fescuedrum_gateway.process.metrics import GatewayMetrics
@@ -84,12 +84,12 @@
     return run_paused(run())
 
 
-async def look_for(keeper, seconds):
+async def check_for(keeper, seconds):
     loop = asyncio.get_running_loop()
     until = loop.time() + seconds
     while loop.time() < until:
         await asyncio.sleep(0.25)
-        await keeper.look()
+        await keeper.check_groups()
 
 
 def hosts(group, expert, layer=0):
@@ -98,7 +98,7 @@
 
 def test_a_hot_expert_gets_replicas_soon():
     async def story(keeper, group):
-        await look_for(keeper, 2.5)
+        await check_for(keeper, 2.5)
 
     group = play(story)
     assert hosts(group, 0) > 1
@@ -113,7 +113,7 @@
     """
 
     async def story(keeper, group):
-        await look_for(keeper, 4.0)
+        await check_for(keeper, 4.0)
 
     group = play(story, ranks=(2, 3))
     assert hosts(group, 0) > 1
@@ -121,13 +121,13 @@
 
 def test_a_group_that_begins_anew_gets_a_good_map_again():
     async def story(keeper, group):
-        await look_for(keeper, 2.5)
+        await check_for(keeper, 2.5)
         assert hosts(group, 0) > 1
         group.restart()
         held = even.initial_map(EXPERTS, RANKS, LAYERS)
         for number, rank in enumerate(group.ranks):
             rank.held = [sorted(layer[number]) for layer in held]
-        await look_for(keeper, 3.0)
+        await check_for(keeper, 3.0)
         assert hosts(group, 0) > 1
 
     assert play(story).mixed_passes == []
@@ -141,12 +141,12 @@
     """
 
     async def story(keeper, group):
-        await look_for(keeper, 0.3)
+        await check_for(keeper, 0.3)
         step = group.step + 5
         held = [[[0]] * RANKS] * LAYERS
         assert group.take(0, 1, PrepareMap(9000, held))
         assert group.take(0, 1, HoldPass(step))
-        await look_for(keeper, 4.0)
+        await check_for(keeper, 4.0)
         assert group.step > step
 
     assert play(story).mixed_passes == []
@@ -161,17 +161,17 @@
     moved_at, followed_at = [], []
 
     async def story(keeper, group):
-        await look_for(keeper, 2.5)
+        await check_for(keeper, 2.5)
         loop = asyncio.get_running_loop()
         group_state = next(iter(keeper.finder.groups.values()))
-        measuring = asyncio.create_task(keeper.measure(group_state))
+        measuring = asyncio.create_task(keeper.remeasure(group_state))
         await asyncio.sleep(0.24)
         group.hot = 7
         moved_at.append(loop.time())
         assert await measuring
         while hosts(group, 7) == 1:
-            pace_events(keeper, loop.time())
-            await look_for(keeper, 0.25)
+            observe_steady_passes(keeper, loop.time())
+            await check_for(keeper, 0.25)
         followed_at.append(loop.time())
 
     play(story)
@@ -187,23 +187,23 @@
 
     async def story(keeper, group):
         loop = asyncio.get_running_loop()
-        pace_events(keeper, loop.time())
-        await look_for(keeper, 2.5)
+        observe_steady_passes(keeper, loop.time())
+        await check_for(keeper, 2.5)
         group.hot = 7
         moved_at = loop.time()
         while hosts(group, 7) == 1:
-            pace_events(keeper, loop.time())
-            await look_for(keeper, 0.25)
+            observe_steady_passes(keeper, loop.time())
+            await check_for(keeper, 0.25)
         followed_at.append(loop.time() - moved_at)
 
     play(story)
     assert followed_at[0] < SHORTEST_TIME_BETWEEN_MOVES
 
 
-def pace_events(keeper, now):
+def observe_steady_passes(keeper, now):
     """Let the keeper see streams of a steady pace."""
     for number in range(10):
-        keeper.pace.observe(0.05, now - 0.2 + number / 50)
+        keeper.pass_timer.observe(0.05, now - 0.2 + number / 50)
 
 
 def test_a_leader_that_slept_takes_up_the_map_that_is_in_force_now():
@@ -215,17 +215,17 @@
     """
 
     async def story(keeper, group):
-        await look_for(keeper, 2.5)
+        await check_for(keeper, 2.5)
         before = [[rank.held[layer] for rank in group.ranks] for layer in range(LAYERS)]
         # All ranks take on the experts of the rank beside them.
         other = [layer[1:] + layer[:1] for layer in before]
         group.spare = None
         change = MapChange(50_000, other, before, copy_seconds=0.1)
-        switch = Switch(group, group.addresses, 1, change)
+        switch = MapSwitch(group, group.addresses, 1, change)
         assert await switch.run() is SwitchResult.SWITCHED
         group.spare = PROFILE.spare
         group.hot = 7
-        await look_for(keeper, 4.0)
+        await check_for(keeper, 4.0)
         assert hosts(group, 7) > 1
 
     assert play(story, {"spare": PROFILE.spare}).mixed_passes == []
@@ -234,9 +234,9 @@
 def test_few_ranks_of_a_large_group_are_read():
     """Passes that are long already are made longer than the pause by reading counts."""
     sample = DemandSample()
-    assert len(sample.ranks(12, numbers=288)) == 3
-    assert len(sample.ranks(63, numbers=2016)) == 2
-    assert sample.ranks(1, numbers=2016) == [0]
+    assert len(sample.ranks(12, counts_per_rank=288)) == 3
+    assert len(sample.ranks(63, counts_per_rank=2016)) == 2
+    assert sample.ranks(1, counts_per_rank=2016) == [0]
 
 
 def test_an_idle_group_is_not_read():
@@ -256,7 +256,7 @@
             return await read_counts(address)
 
         group.read_counts = count
-        await look_for(keeper, 10.0)
+        await check_for(keeper, 10.0)
 
     run_paused(run())
     assert len(reads) <= 2
@@ -264,7 +264,7 @@
 
 def test_an_even_demand_changes_nothing():
     async def story(keeper, group):
-        await look_for(keeper, 3.0)
+        await check_for(keeper, 3.0)
 
     async def run():
         group = build_group()
--- a/tests/unit/test_platform_orders.py
+++ b/tests/unit/test_platform_orders.py
@@ -23,7 +23,7 @@
     return [experts] * LAYERS
 
 
-async def send_order(order, delay, link_megabits):
+async def send_to_slow_engine(order, delay, link_megabits):
     """Give an order to an engine that answers late; return (result, body it got)."""
     bodies = []
 
@@ -53,14 +53,14 @@
     the rank had taken it the first time.
     """
     order = PrepareMap(4, build_map())
-    result, body = await send_order(order, SLOW_SECONDS, NARROW_MEGABITS)
+    result, body = await send_to_slow_engine(order, SLOW_SECONDS, NARROW_MEGABITS)
     assert result is OrderResult.ACCEPTED
     assert body == {"op": "prepare", "version": 4, "mapping": order.held, "epoch": 1}
     assert len(json.dumps(body)) > 10_000
 
 
 async def test_a_short_order_that_gets_no_answer_is_noticed_soon():
-    result, _ = await send_order(HoldPass(9), SLOW_SECONDS, NARROW_MEGABITS)
+    result, _ = await send_to_slow_engine(HoldPass(9), SLOW_SECONDS, NARROW_MEGABITS)
     assert result is OrderResult.UNANSWERED
 
 
@@ -71,7 +71,7 @@
     and yet each round of orders waited for half a second, as on the narrowest one.
     """
     order = PrepareMap(4, build_map())
-    result, _ = await send_order(order, SLOW_SECONDS, WIDE_MEGABITS)
+    result, _ = await send_to_slow_engine(order, SLOW_SECONDS, WIDE_MEGABITS)
     assert result is OrderResult.UNANSWERED
 
 
--- a/tests/unit/test_switching.py
+++ b/tests/unit/test_switching.py
@@ -18,9 +18,9 @@
 from fescuedrum.groups.switching import (
     HOLDING_RANK,
     MapChange,
-    Switch,
+    MapSwitch,
     SwitchResult,
-    settle,
+    recover_held_group,
     steps_ahead,
 )
 
@@ -62,7 +62,7 @@
 
 def test_all_ranks_switch_at_one_pass_and_the_group_is_not_held_up():
     async def story(group):
-        switch = Switch(group, group.addresses, 1, build_change())
+        switch = MapSwitch(group, group.addresses, 1, build_change())
         assert await switch.run() is SwitchResult.SWITCHED
 
     group = play(story)
@@ -82,7 +82,7 @@
     async def story(group):
         lag = REPORT_LAG_SECONDS
         change = build_change(steps_ahead=steps_ahead(lag, group.pass_seconds))
-        switch = Switch(group, group.addresses, 1, change)
+        switch = MapSwitch(group, group.addresses, 1, change)
         assert await switch.run() is SwitchResult.SWITCHED
         await asyncio.sleep(lag + 2 * pass_seconds)
         assert group.step >= switch.step
@@ -101,7 +101,7 @@
     """
 
     async def story(group):
-        switch = Switch(group, group.addresses, 1, build_change())
+        switch = MapSwitch(group, group.addresses, 1, build_change())
         running = asyncio.create_task(switch.run())
         await asyncio.sleep(0.05)
         group.take(2, 1, PrepareMap(5000, build_held()))
@@ -129,7 +129,7 @@
             return await give(address, epoch, order)
 
         group.send_order = lose_arming
-        switch = Switch(group, group.addresses, 1, build_change())
+        switch = MapSwitch(group, group.addresses, 1, build_change())
         assert await switch.run() is SwitchResult.ABANDONED
         late = ArmMap(1000, group.step + 1)
         assert group.take(3, 1, late) is OrderResult.REFUSED
@@ -153,7 +153,7 @@
             return OrderResult.UNANSWERED if isinstance(order, HoldPass) else result
 
         group.send_order = lose_answer
-        switch = Switch(group, group.addresses, 1, build_change())
+        switch = MapSwitch(group, group.addresses, 1, build_change())
         assert await switch.run() is SwitchResult.ABANDONED
 
     group = play(story)
@@ -163,7 +163,7 @@
 
 def test_a_new_epoch_ends_a_change():
     async def story(group):
-        switch = Switch(group, group.addresses, 1, build_change())
+        switch = MapSwitch(group, group.addresses, 1, build_change())
         running = asyncio.create_task(switch.run())
         await asyncio.sleep(0.05)
         group.restart()
@@ -200,7 +200,7 @@
             return await give(address, epoch, order)
 
         group.send_order = give_faultily
-        switch = Switch(group, group.addresses, 1, build_change())
+        switch = MapSwitch(group, group.addresses, 1, build_change())
         assert await switch.run() is SwitchResult.ABANDONED
         assert late[0].done()
 
@@ -216,7 +216,7 @@
     """
 
     async def story(group):
-        switch = Switch(group, group.addresses, 1, build_change())
+        switch = MapSwitch(group, group.addresses, 1, build_change())
         running = asyncio.create_task(switch.run())
         await asyncio.sleep(0.05)
         group.take(2, 1, PrepareMap(3500, build_held()))
@@ -245,7 +245,7 @@
             return await give(address, epoch, order)
 
         group.send_order = count
-        switch = Switch(group, group.addresses, 1, build_change())
+        switch = MapSwitch(group, group.addresses, 1, build_change())
         running = asyncio.create_task(switch.run())
         await asyncio.sleep(0.05)
         group.take(2, 1, PrepareMap(5000, build_held()))
@@ -268,13 +268,13 @@
     async def story(group):
         for number in range(1, 6):
             change = build_change(number * 1000, shift=number % RANKS)
-            switch = Switch(group, group.addresses, 1, change)
+            switch = MapSwitch(group, group.addresses, 1, change)
             running = asyncio.create_task(switch.run())
             if chance.random() < 0.5:
                 await asyncio.sleep(chance.uniform(0.0, 0.6))
                 running.cancel()
                 await asyncio.gather(running, return_exceptions=True)
-                await settle_when_left(group)
+                await recover_when_abandoned(group)
             else:
                 await running
 
@@ -283,7 +283,7 @@
     assert len(versions(group)) == 1
 
 
-async def settle_when_left(group):
+async def recover_when_abandoned(group):
     """Do as a successor: settle a hold that stands for a while."""
     for _ in range(20):
         await asyncio.sleep(1.0)
@@ -298,4 +298,4 @@
             [group.ranks[rank].held[layer] for rank in range(RANKS)]
             for layer in range(2)
         ]
-        await settle(group, group.addresses, reports, held)
+        await recover_held_group(group, group.addresses, reports, held)
