--- a/packages/fescuedrum/src/fescuedrum/decisions/experts/cost.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/experts/cost.py
@@ -1,14 +1,14 @@
-"""Weigh what a change of the expert map costs against what it saves.
+"""Compare the cost of a change of the expert map with the time that it saves.
 
-Load pattern: many groups drift at the same time, and all fetch weights from one store
-with a limited rate. Without a price every wobble of popularity would be answered with
-moves, the store would be busy for ever, and steps would stall for gains smaller than
-the stalls.
+Load pattern: popularity drifts in many groups at the same time, and all of them fetch
+weights from one store of limited bandwidth. Without a cost for changes, every small
+variation of popularity would cause moves, the store would be busy permanently, and
+steps would stall for gains smaller than the stalls.
 
-Costs and savings are both seconds of the group's stepping, so that they compare. A
-change costs a stall, interference while weights are fetched, and a fixed amount for
-the risk of any change; it saves the lower step time from when the weights have come
-until popularity is expected to have moved on.
+Costs and savings are both measured in seconds of the group's step time. A change costs
+a stall, interference while weights are fetched, and a fixed amount for the risk of any
+change. It saves step time from when the weights have been fetched until popularity is
+expected to have changed.
 """
 
 from dataclasses import dataclass
@@ -18,34 +18,35 @@
 
 @dataclass(slots=True, frozen=True)
 class ChangeCosts:
-    """Hold the figures of a group and of its share of the weight store."""
+    """Hold the parameters of a group and of its share of the weight store."""
 
-    # Bytes of one expert of one layer.
+    # Size of the weights of one expert of one layer.
     expert_bytes: int = 90_000_000
-    # Bytes a second that this group gets of the weight store, which all groups share.
+    # Bandwidth of this group at the weight store, which all groups share.
     store_bytes_per_second: float = 5e8
-    # Seconds of a step; the users' 34 ms between tokens bound it.
+    # Duration of a step, at most the 34 ms between tokens that users expect.
     step_seconds: float = 0.03
-    # Steps that a change holds the group up, in total.
+    # Steps for which a change stalls the group, in total.
     stall_steps: float = 2.0
-    # Part by which this group's steps, and others' that wait for the store, are slower
-    # while weights are fetched.
+    # Fraction by which steps of this group, and of others that wait for the store, are
+    # slower while weights are fetched.
     interference: float = 0.25
-    # Seconds that any change must save beyond its other costs.
+    # Time that any change must save in addition to its other costs.
     risk_seconds: float = 1.0
-    # A smaller part of step time than this is noise of the measured loads.
+    # Savings below this fraction of the step time are noise in the measured loads.
     min_saving: float = 0.006
 
 
 @dataclass(slots=True, frozen=True)
 class Balance:
-    """Hold one change's price and worth, in seconds of the group's stepping."""
+    """Hold the cost and the savings of one change, in seconds of step time."""
 
+    # Number of experts to fetch.
     fetched: int
     fetched_bytes: int
     load_seconds: float
     cost_seconds: float
-    # Part of the step time that the change saves.
+    # Fraction of the step time that the change saves.
     saving: float
     saved_seconds: float
 
@@ -59,7 +60,11 @@
 
 
 def assess(costs, current, changed, current_time, changed_time, valid_seconds):
-    """Weigh a change; the times are step times over the ideal, lasting in seconds."""
+    """Return the Balance of a change.
+
+    current_time and changed_time are step times relative to the ideal step time, and
+    valid_seconds is how long the forecast behind them is expected to hold.
+    """
     fetched = count_fetches(current, changed)
     fetched_bytes = fetched * costs.expert_bytes
     load_seconds = fetched_bytes / costs.store_bytes_per_second
--- a/packages/fescuedrum/src/fescuedrum/decisions/experts/demand.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/experts/demand.py
@@ -1,47 +1,52 @@
-"""Follow which experts are in demand from counts that only grow.
+"""Estimate the demand for experts from cumulative counts.
 
 Load pattern: demand is steady for some seconds, with noise from the few requests that
-run at a time, and then half of it moves to other experts at once. A long mean would
-see the move late; a short one makes noise look like moves. So counts of one interval
-are joined to the mean while they are like it, and replace it when they are not.
+run at a time, and then half of it moves to other experts at once. A mean over a long
+time would show the shift late, and with a mean over a short time noise looks like a
+shift. So the counts of an interval are blended into the mean while they are similar to
+it, and replace it when they are not.
 """
 
+# Fraction of the demand on other experts above which an interval counts as a shift.
 SHIFT_THRESHOLD = 0.15
+# Weight of a new interval in the mean.
 INTERVAL_WEIGHT = 0.5
+# Intervals with fewer counts are ignored.
 MIN_COUNTS = 1000
 
 
 class Demand:
-    """Hold the demand of one group's experts, as parts of a layer."""
+    """Estimate the demand for one group's experts, as shares of each layer's total."""
 
     __slots__ = ("has_shifted", "last_counts", "mean_shares")
 
     def __init__(self):
         self.last_counts = None
         self.mean_shares = None
-        # Whether the newest interval was unlike what was known before.
+        # Whether the latest interval differed from the mean by more than the threshold.
         self.has_shifted = False
 
     def reset_counts(self):
-        """Begin anew with the next counts: what lies between was no common interval."""
+        """Forget the last counts, because the next ones are not comparable to them."""
         self.last_counts = None
 
     def reset(self):
-        """Drop what is known: demand has moved."""
+        """Discard the estimate, because demand has shifted."""
         self.last_counts = self.mean_shares = None
 
     def observe(self, counts, layers):
-        """Take counts since the ranks started, all layers one after another.
+        """Update the estimate from the counts since the ranks started.
 
-        Return whether the demand is known anew.
+        counts lists the experts of the first layer, then those of the second, and so
+        on. Return whether the estimate was updated.
         """
         last, self.last_counts = self.last_counts, counts
         if last is None or len(last) != len(counts):
             return False
-        grown = [now - then for now, then in zip(counts, last, strict=True)]
-        if min(grown) < 0 or sum(grown) < MIN_COUNTS:
+        increases = [now - then for now, then in zip(counts, last, strict=True)]
+        if min(increases) < 0 or sum(increases) < MIN_COUNTS:
             return False
-        shares = shares_by_layer(grown, layers)
+        shares = shares_by_layer(increases, layers)
         self.has_shifted = (
             self.mean_shares is not None
             and shifted_share(shares, self.mean_shares) > SHIFT_THRESHOLD
@@ -54,23 +59,24 @@
 
 
 def shares_by_layer(counts, layers):
-    """Return counts as parts of each layer's sum: parts[layer][expert]."""
+    """Return each expert's share of its layer's counts, as shares[layer][expert]."""
     size = len(counts) // layers
     split = [counts[layer * size : (layer + 1) * size] for layer in range(layers)]
     return [[count / max(sum(each), 1) for count in each] for each in split]
 
 
 def shifted_share(one, other):
-    """Return the part of the demand that lies elsewhere, over all layers."""
+    """Return the share of the demand that is on other experts, the mean over layers."""
     differences = (
-        abs(mine - theirs)
-        for mine_all, theirs_all in zip(one, other, strict=True)
-        for mine, theirs in zip(mine_all, theirs_all, strict=True)
+        abs(share - other_share)
+        for layer, other_layer in zip(one, other, strict=True)
+        for share, other_share in zip(layer, other_layer, strict=True)
     )
     return sum(differences) / 2 / len(one)
 
 
 def blend(old, new):
+    """Return the mean of old and new shares, weighted by INTERVAL_WEIGHT."""
     return [
         [
             then + INTERVAL_WEIGHT * (now - then)
--- a/packages/fescuedrum/src/fescuedrum/decisions/experts/even.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/experts/even.py
@@ -1,51 +1,54 @@
-"""Mend a map whose replicas share an expert's tokens evenly, with few copies.
-
-Load pattern: which experts are in demand changes every few seconds, at once and by
-half. A layer lasts as long as its fullest rank, so a hot expert on one rank makes every
-pass of the group three times as long. Copies of experts take a tenth of a second each
-and slow the group down while they come, and a rank takes a bounded number of new ones
-at a time. A new placement from nothing would copy most of the weights, and would be
-ready when demand has moved on; a few replicas of the hottest experts give most of the
-gain within a fraction of a second.
-
-The map is mended by single steps, each the best for its copies: give the lightest ranks
-a replica of an expert of the fullest rank, in a free place or in that of a replica that
-others hold as well, or let two ranks exchange an expert. A step is judged by the sum of
-a high power of the ranks' loads, which follows the fullest rank and still tells apart
-steps that leave it as it is.
+"""Rebalance an expert map with few copies; replicas of an expert get equal loads.
+
+Load pattern: the experts in demand change abruptly every few seconds, and about half of
+the demand moves. A layer takes as long as its most loaded rank, so a hot expert on one
+rank makes every pass of the group three times as long. Copying an expert takes a tenth
+of a second and slows the group down meanwhile, and a rank accepts a bounded number of
+new experts at a time. Planning a new map from scratch would copy most of the weights,
+and the copies would be ready only after demand has moved again. A few replicas of the
+hottest experts give most of the gain within a fraction of a second.
+
+The map is changed in single steps, each the one with the highest gain per copy. A step
+either gives a lightly loaded rank a replica of an expert of the most loaded rank, in a
+free place or in place of an expert that other ranks also hold, or lets two ranks
+exchange an expert. The gain is measured by the sum of a high power of the ranks' loads:
+it is dominated by the most loaded rank, but still distinguishes steps that leave the
+load of that rank unchanged.
 """
 
 from collections.abc import Iterator
 from dataclasses import dataclass
 
 LOAD_EXPONENT = 8
+# Time of the slowest rank over the mean at which a layer counts as balanced.
 TARGET_TIME = 1.06
+# Candidates that are evaluated for each step.
 MAX_EXPERTS_TRIED = 4
 MAX_RECEIVERS_TRIED = 6
 MAX_VICTIMS_TRIED = 3
-# Copies that a step without one counts for: it is an order to every rank all the same.
+# Cost, in copies, of a step that copies nothing: every rank still receives an order.
 MIN_STEP_COPIES = 0.5
-# No layer needs more steps than this many for each rank.
+# Limit on the steps for one layer, for each rank of the group.
 STEPS_PER_RANK = 3
 
 
 @dataclass(slots=True, frozen=True)
 class MapLimits:
-    """Bound what a rank can hold and what one change may bring."""
+    """Hold the limits of a rank's capacity and of a single change."""
 
-    # Experts that a rank has room for in a layer.
+    # Most experts of a layer that a rank can hold.
     places: int
-    # Experts new to a rank that one change may bring in a layer.
+    # Most experts of a layer that one change may add to a rank.
     spare: int
-    # Experts new to a rank that one change may bring in all layers.
+    # Most experts of all layers that one change may add to a rank.
     copies: int
-    # Part of the sum of powers that a step must take off for each of its copies.
+    # Fraction by which a step must reduce the sum of powers for each of its copies.
     min_gain: float
 
 
 @dataclass(slots=True, frozen=True)
 class Replicate:
-    """Give a rank a replica, in the place of another expert or in a free one."""
+    """Add a replica of an expert to a rank, in place of victim unless it is None."""
 
     expert: int
     rank: int
@@ -54,7 +57,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Exchange:
-    """Let two ranks exchange an expert each."""
+    """Swap an expert of one rank for an expert of another."""
 
     expert: int
     rank: int
@@ -63,9 +66,10 @@
 
 
 class LayerRebalancer:
-    """Mend one layer's map; held is a set of experts for each rank.
+    """Rebalance the map of one layer; held is a list of the ranks' sets of experts.
 
-    copied counts for each rank the experts that are new to it, in all layers.
+    added_in_total counts the experts added to each rank in all layers, and is shared
+    by the rebalancers of these layers. Times are relative to the mean of all ranks.
     """
 
     __slots__ = (
@@ -90,7 +94,7 @@
         self.loads = loads
         self.limits = limits
         self.added_in_total = added_in_total
-        # Experts that are new to a rank in this layer.
+        # Number of experts added to each rank in this layer.
         self.added_in_layer = [0] * len(held)
         self.done = False
         self.steps_left = STEPS_PER_RANK * len(held)
@@ -103,16 +107,15 @@
             sum(self.load_per_host(expert) for expert in experts) / self.mean_load
             for experts in held
         ]
-        # Their powers, and the fullest rank's time over the mean.
         self.time_powers = [time**LOAD_EXPONENT for time in self.times]
         self.max_time = max(self.times)
 
     def load_per_host(self, expert):
-        """Return the load that each host of an expert has of it."""
+        """Return the load that an expert puts on each of its hosts."""
         return self.loads[expert] / len(self.hosts[expert])
 
     def take_step(self):
-        """Take the best step; the layer is done when none is worth its copies."""
+        """Apply the best step, or set done if no step is worth its copies."""
         step = (
             self.best_step()
             if self.steps_left and self.max_time > TARGET_TIME
@@ -127,6 +130,7 @@
     # Steps
 
     def best_step(self) -> Replicate | Exchange | None:
+        """Return the step with the highest gain per copy, or None if all are low."""
         best, best_gain = None, self.limits.min_gain * sum(self.time_powers)
         for gain, kind, arguments in self.candidates():
             if gain > best_gain:
@@ -137,7 +141,7 @@
         return kind(*arguments)
 
     def candidates(self) -> Iterator[tuple[float, type, tuple]]:
-        """Yield (gain for each copy, kind of step, its fields) of steps to try."""
+        """Yield (gain per copy, class of the step, its arguments) for steps to try."""
         lightest = sorted(range(len(self.times)), key=self.times.__getitem__)
         fullest_rank = self.times.index(self.max_time)
         receivers = [
@@ -159,6 +163,7 @@
     def replications(
         self, expert: int, rank: int, gain_at_hosts: float
     ) -> Iterator[tuple[float, type, tuple]]:
+        """Yield the candidate steps that add a replica of an expert to a rank."""
         if not self.can_add(rank, expert):
             return
         copies = 1.0 if expert not in self.initial_held[rank] else MIN_STEP_COPIES
@@ -166,9 +171,9 @@
             gain = gain_at_hosts + self.gain_at_receiver(expert, rank, 0.0)
             yield gain / copies, Replicate, (expert, rank, None)
             return
-        spare = [each for each in self.held[rank] if len(self.hosts[each]) > 1]
-        spare.sort(key=self.load_per_host)
-        for victim in spare[:MAX_VICTIMS_TRIED]:
+        victims = [each for each in self.held[rank] if len(self.hosts[each]) > 1]
+        victims.sort(key=self.load_per_host)
+        for victim in victims[:MAX_VICTIMS_TRIED]:
             gain = gain_at_hosts + self.gain_at_victim_hosts(victim, expert, rank)
             gain += self.gain_at_receiver(expert, rank, self.load_per_host(victim))
             yield gain / copies, Replicate, (expert, rank, victim)
@@ -176,18 +181,19 @@
     def exchanges(
         self, experts_by_load: list[int], fullest_rank: int, rank: int
     ) -> Iterator[tuple[float, type, tuple]]:
+        """Yield the candidate exchanges between the most loaded rank and another."""
         for expert in experts_by_load:
             if expert in self.held[rank] or not self.can_add(rank, expert):
                 continue
-            piece = self.load_per_host(expert)
+            load = self.load_per_host(expert)
             for other_expert in self.held[rank]:
-                smaller = self.load_per_host(other_expert) < piece
+                smaller = self.load_per_host(other_expert) < load
                 if (
                     smaller
                     and other_expert not in self.held[fullest_rank]
                     and self.can_add(fullest_rank, other_expert)
                 ):
-                    moved = (piece - self.load_per_host(other_expert)) / self.mean_load
+                    moved = (load - self.load_per_host(other_expert)) / self.mean_load
                     gain = self.gain_from_change(
                         fullest_rank, -moved
                     ) + self.gain_from_change(rank, moved)
@@ -198,37 +204,40 @@
                     yield gain / max(copies, MIN_STEP_COPIES), Exchange, arguments
 
     def can_add(self, rank, expert):
-        """Tell whether a rank may get an expert within one change."""
+        """Return whether the limits of one change allow adding an expert to a rank."""
         if expert in self.initial_held[rank]:
             return True
-        room = self.added_in_total[rank] < self.limits.copies
-        return room and self.added_in_layer[rank] < self.limits.spare
+        has_copies_left = self.added_in_total[rank] < self.limits.copies
+        return has_copies_left and self.added_in_layer[rank] < self.limits.spare
 
-    # Gains: by how much a step lowers the sum of powers
+    # Gains: reductions of the sum of powers of the ranks' times
 
     def gain_from_change(self, rank: int, change: float) -> float:
-        """Return the gain when one rank's time changes."""
+        """Return the gain from a change of one rank's time."""
         return self.time_powers[rank] - (self.times[rank] + change) ** LOAD_EXPONENT
 
     def gain_at_hosts(self, expert: int) -> float:
-        """Return the gain at an expert's hosts when one more joins them."""
-        decrease_per_host = self.decrease_per_host(expert)
+        """Return the gain at the hosts of an expert when another host is added."""
+        decrease = self.decrease_per_host(expert)
         return sum(
-            self.gain_from_change(host, -decrease_per_host)
-            for host in self.hosts[expert]
+            self.gain_from_change(host, -decrease) for host in self.hosts[expert]
         )
 
     def gain_at_receiver(self, expert: int, rank: int, freed: float) -> float:
-        """Return the gain, mostly a loss, at the rank that joins an expert's hosts."""
-        taken = self.loads[expert] / (len(self.hosts[expert]) + 1) - freed
-        return self.gain_from_change(rank, taken / self.mean_load)
+        """Return the gain, usually negative, at a rank that is added as a host.
+
+        freed is the load that the rank loses with the replaced expert.
+        """
+        added = self.loads[expert] / (len(self.hosts[expert]) + 1) - freed
+        return self.gain_from_change(rank, added / self.mean_load)
 
     def gain_at_victim_hosts(self, victim: int, expert: int, rank: int) -> float:
-        """Return the gain, a loss, at the victim's other hosts.
+        """Return the gain, always negative, at the victim's other hosts.
 
-        Those that also hold the expert have been counted with its relief.
+        The gain at hosts that also hold the expert is already part of gain_at_hosts()
+        and is corrected here.
         """
-        increase_per_host, decrease_per_host = (
+        increase, decrease = (
             self.increase_per_host(victim),
             self.decrease_per_host(expert),
         )
@@ -237,26 +246,24 @@
             if host == rank:
                 continue
             if host in self.hosts[expert]:
-                gain += self.gain_from_change(
-                    host, increase_per_host - decrease_per_host
-                )
-                gain -= self.gain_from_change(host, -decrease_per_host)
+                gain += self.gain_from_change(host, increase - decrease)
+                gain -= self.gain_from_change(host, -decrease)
             else:
-                gain += self.gain_from_change(host, increase_per_host)
+                gain += self.gain_from_change(host, increase)
         return gain
 
     def decrease_per_host(self, expert: int) -> float:
-        """Return what each host of an expert is spared when one more joins."""
+        """Return by how much each host's time drops when another host is added."""
         hosts = len(self.hosts[expert])
         return self.loads[expert] / (hosts * (hosts + 1)) / self.mean_load
 
     def increase_per_host(self, expert: int) -> float:
-        """Return what each other host of an expert gets when one leaves."""
+        """Return by how much each other host's time rises when a host is removed."""
         hosts = len(self.hosts[expert])
         return self.loads[expert] / (hosts * (hosts - 1)) / self.mean_load
 
     def time_changes(self, step):
-        """Return by how much a step changes the ranks' times."""
+        """Return the changes of the ranks' times that a step makes, by rank."""
         time_changes = {}
         match step:
             case Exchange(expert, rank, other_expert, other_rank):
@@ -271,20 +278,21 @@
         return time_changes
 
     def add_replica_changes(self, time_changes, expert, rank):
-        decrease_per_host = self.decrease_per_host(expert)
-        piece = self.loads[expert] / (len(self.hosts[expert]) + 1) / self.mean_load
+        decrease = self.decrease_per_host(expert)
+        added = self.loads[expert] / (len(self.hosts[expert]) + 1) / self.mean_load
         for host in self.hosts[expert]:
-            time_changes[host] = time_changes.get(host, 0.0) - decrease_per_host
-        time_changes[rank] = time_changes.get(rank, 0.0) + piece
+            time_changes[host] = time_changes.get(host, 0.0) - decrease
+        time_changes[rank] = time_changes.get(rank, 0.0) + added
 
     def remove_replica_changes(self, time_changes, expert, rank):
-        piece = self.load_per_host(expert) / self.mean_load
-        increase_per_host = self.increase_per_host(expert)
+        removed = self.load_per_host(expert) / self.mean_load
+        increase = self.increase_per_host(expert)
         for host in self.hosts[expert]:
-            change = -piece if host == rank else increase_per_host
+            change = -removed if host == rank else increase
             time_changes[host] = time_changes.get(host, 0.0) + change
 
     def apply(self, step):
+        """Change the map and the ranks' times by a step."""
         for rank, change in self.time_changes(step).items():
             self.times[rank] += change
             self.time_powers[rank] = self.times[rank] ** LOAD_EXPONENT
@@ -317,11 +325,11 @@
 
 
 class MapRebalancer:
-    """Mend the layers of a map, a step at a time where most time is lost.
+    """Rebalance all layers of a map, each step in the layer with the slowest rank.
 
-    A rank copies the experts of all layers one by one, and the change waits for the
-    rank with most copies: so a rank's copies are bounded over all layers. Layers mended
-    one after the other would leave none of them for the last.
+    A rank copies its new experts of all layers one after the other, and a change waits
+    for the rank with the most copies, so a rank's copies are bounded over all layers.
+    Rebalancing layer by layer would use up the copies before the last layer.
     """
 
     __slots__ = ("rebalancers",)
@@ -338,12 +346,12 @@
         return [rebalancer.held for rebalancer in self.rebalancers]
 
     def run(self):
-        """Mend until all layers are even or no step is worth its copies."""
+        """Take steps until all layers are balanced or no step is worth its copies."""
         while self.run_steps(STEPS_PER_RANK):
             pass
 
     def run_steps(self, steps):
-        """Take up to so many steps; tell whether there may be more."""
+        """Take up to the given number of steps; return whether more may follow."""
         for _ in range(steps):
             active = [
                 rebalancer for rebalancer in self.rebalancers if not rebalancer.done
@@ -355,7 +363,7 @@
 
 
 def max_to_mean_load(held, loads):
-    """Return the fullest rank's load of a layer over the mean rank's."""
+    """Return the highest load of a rank in one layer divided by the mean load."""
     hosts = [0] * len(loads)
     for experts in held:
         for expert in experts:
@@ -368,7 +376,7 @@
 
 
 def skew(expert_map, loads):
-    """Return the time of all layers over that with even ranks."""
+    """Return the time of all layers divided by their time with balanced ranks."""
     weights = [sum(layer) for layer in loads]
     total = sum(weights)
     if not total:
@@ -381,6 +389,6 @@
 
 
 def initial_map(experts, ranks, layers):
-    """Return the map that a group starts with: experts in turn."""
+    """Return the map that a group starts with: experts dealt out in round-robin."""
     held = [set(range(rank, experts, ranks)) for rank in range(ranks)]
     return [[set(each) for each in held] for _ in range(layers)]
--- a/packages/fescuedrum/src/fescuedrum/decisions/experts/forecast.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/experts/forecast.py
@@ -1,53 +1,62 @@
-"""Forecast experts' loads and how long a forecast will hold.
+"""Forecast the loads of experts and how long the forecast will hold.
 
-Load patterns, and what happens without this module: a daily drift would be met only
-after ranks have become slow, a shift at noon an interval late every day, and random
-flapping would be chased by a change at every interval, each too late.
+Load patterns, and what happens without this module: a daily drift would be answered
+only after ranks have become slow, a shift at noon one interval late every day, and
+random flapping with a change at every interval, each of them too late.
 
-A level and a damped trend follow drift. A shift that earlier days had at this hour is
-expected again while they were like today. Jumps of the last hour tell
-how long a forecast lasts; after two of them popularity counts as unsettled, and the
-hour's mean, which suits each of the states it flaps between, is the forecast.
+Drift is modelled by a level and a damped trend. A shift that occurred at this time on
+earlier days is expected again if those days were similar to today. The number of shifts
+in the last hour determines how long a forecast holds. After two shifts popularity is
+considered unstable, and the forecast is the mean of the hour, which suits all of the
+states between which popularity flaps.
 """
 
 from collections import deque
 from dataclasses import dataclass
 
-# Level: half of its weight lies on the last three intervals, against noise of 1 %.
+# Smoothing weights. Half of the level's weight is on the last three intervals, because
+# the noise is 1 %.
 LEVEL_WEIGHT = 0.25
 TREND_WEIGHT = 0.05
-# A trend fades: drift turns round within hours.
+# The trend is damped because drift changes direction within hours.
 TREND_DAMPING = 0.98
-# A forecast holds until drift has carried this part of the tokens elsewhere.
+# A forecast holds until drift has moved this fraction of the tokens to other experts.
 DRIFT_LIMIT = 0.03
 WINDOW_SECONDS = 3600.0
-# Part of all tokens that goes to other experts from one interval to the next; noise
-# and drift stay under 2 %, shifts of popularity are above 10 %.
+# Fraction of the tokens that moves to other experts between two intervals. Noise and
+# drift are below 2 %, shifts of popularity above 10 %.
 SHIFT_THRESHOLD = 0.05
+# Shifts within the window after which popularity is considered unstable.
 UNSTABLE_SHIFTS = 2
+# Intervals without reports after which older observations are discarded.
 MAX_GAP_INTERVALS = 3
 DAY_SECONDS = 86400.0
+# Resolution of the loads that are kept by time of day.
 BUCKET_SECONDS = 300.0
 ERROR_WEIGHT = 0.2
-# A shift of earlier days is expected again while the days have been this near; level
-# and trend are better between shifts, and flapping never repeats so exactly.
+# A shift of earlier days is expected again only while the error of their loads is below
+# this limit. Flapping never repeats that exactly. Between shifts, level and trend give
+# better forecasts.
 MAX_DAILY_ERROR = SHIFT_THRESHOLD / 2
 
 
 @dataclass(slots=True, frozen=True)
 class Forecast:
-    """Hold loads[layer][expert] as parts of a layer, and how many seconds they hold."""
+    """Hold expected loads as fractions of a layer, and how long they are valid.
+
+    Loads are indexed as loads[layer][expert].
+    """
 
     loads: list[list[float]]
     valid_seconds: float
     is_stable: bool
-    # Loads of the last interval; of all of the last hour while unsettled.
+    # Loads of the last interval, or of all intervals of the last hour if unstable.
     recent: list[list[list[float]]]
 
 
 @dataclass(slots=True, frozen=True)
 class Observation:
-    """Hold one interval's loads as parts of a layer."""
+    """Hold the loads of one interval as fractions of a layer."""
 
     at: float
     loads: list[list[float]]
@@ -56,13 +65,17 @@
 
 @dataclass(slots=True)
 class DailyLoads:
-    """Hold the loads of earlier days; today's apart, lest they judge themselves."""
+    """Hold the loads at one time of day, separately for today and for earlier days.
+
+    Today's loads are compared with earlier days, so they must not be part of these.
+    """
 
     day: int
     today: list[list[float]]
     earlier: list[list[float]] | None = None
 
     def update(self, fractions, day):
+        """Blend loads into those of today, starting a new day if needed."""
         if day != self.day:
             known = self.earlier
             self.earlier = (
@@ -74,12 +87,12 @@
         self.today = blend(self.today, fractions, 0.5)
 
     def loads_before(self, day):
-        """Return the loads of the days before a day, or None."""
+        """Return the loads of the days before the given day, or None if unknown."""
         return self.earlier if day == self.day else self.today
 
 
 class Forecaster:
-    """Follow the loads of one group."""
+    """Record the loads of one group and forecast them."""
 
     __slots__ = (
         "daily_error",
@@ -100,13 +113,13 @@
         self.daily_error = None
 
     def observe(self, loads, now):
-        """Take the loads of the interval that ends now."""
+        """Record the loads of the interval that ends now."""
         fractions = [normalise(layer) for layer in loads]
         if (
             self.window
             and now - self.window[-1].at > MAX_GAP_INTERVALS * self.interval_seconds
         ):
-            # What lies before a gap in the reports says nothing of drift or jumps.
+            # Neither drift nor shifts can be measured across a gap in the reports.
             self.window.clear()
             self.level = None
         last = self.window[-1].loads if self.window else fractions
@@ -119,6 +132,7 @@
             self.window.popleft()
 
     def update_daily_error(self, fractions, now):
+        """Update the mean difference between the loads of today and earlier days."""
         expected = self.loads_of_earlier_days(now)
         if expected is None:
             return
@@ -128,11 +142,12 @@
         self.daily_error += ERROR_WEIGHT * (error - self.daily_error)
 
     def loads_of_earlier_days(self, at):
-        """Return the loads of earlier days at this time of day, or None."""
+        """Return the loads of earlier days at this time of day, or None if unknown."""
         bucket = self.daily_loads.get(bucket_of(at))
         return bucket.loads_before(day_of(at)) if bucket else None
 
     def update_trend(self, fractions, has_shifted):
+        """Update level and trend, or restart them after a shift."""
         if self.level is None or has_shifted:
             self.level = fractions
             self.trend = [[0.0] * len(layer) for layer in fractions]
@@ -145,6 +160,7 @@
         self.level = level
 
     def update_daily_loads(self, fractions, now):
+        """Record loads under the current time of day."""
         bucket = self.daily_loads.get(bucket_of(now))
         if bucket is None:
             self.daily_loads[bucket_of(now)] = DailyLoads(day_of(now), fractions)
@@ -157,7 +173,7 @@
         return [[max(load, 0.0) for load in layer] for layer in loads]
 
     def forecast(self):
-        """Return the forecast for what begins now."""
+        """Return the forecast for the time that begins now."""
         shifts = sum(each.has_shifted for each in self.window)
         recent = [each.loads for each in self.window]
         coming = self.upcoming_shift()
@@ -172,16 +188,17 @@
         return Forecast(self.expected_loads(), valid_seconds, True, recent[-1:])
 
     def seconds_until_drift(self):
+        """Return the time in which the trend reaches DRIFT_LIMIT."""
         ahead = weighted_sum(self.level, self.trend, 1.0, 1.0)
         drift = moved_fraction(self.level, ahead)
         return self.interval_seconds * DRIFT_LIMIT / drift if drift else WINDOW_SECONDS
 
     def first_shift_at(self):
-        """Return the time of the first jump of the last hour, or None."""
+        """Return the time of the first shift in the last hour, or None."""
         return next((each.at for each in self.window if each.has_shifted), None)
 
     def upcoming_shift(self):
-        """Return the loads after a shift due in the next interval, or None."""
+        """Return the loads after a shift that is due in the next interval, or None."""
         if self.daily_error is None or self.daily_error > MAX_DAILY_ERROR:
             return None
         last = self.window[-1].at
@@ -194,7 +211,7 @@
         return then
 
     def seconds_until_change(self, coming):
-        """Return the time until earlier days went on to something else."""
+        """Return the time until the loads of earlier days differ from those coming."""
         begin = self.window[-1].at + self.interval_seconds
         ahead = self.interval_seconds
         while ahead < WINDOW_SECONDS:
@@ -219,16 +236,16 @@
 
 
 def moved_fraction(first, second):
-    """Return the part of the tokens that goes elsewhere, the mean over layers."""
+    """Return the fraction of tokens on other experts, as the mean over layers."""
     total = 0.0
     for one, other in zip(first, second, strict=True):
         total += sum(abs(a - b) for a, b in zip(one, other, strict=True))
     return total / (2 * len(first))
 
 
-def weighted_sum(first, second, factor, other):
+def weighted_sum(first, second, first_weight, second_weight):
     return [
-        [a * factor + b * other for a, b in zip(one, two, strict=True)]
+        [a * first_weight + b * second_weight for a, b in zip(one, two, strict=True)]
         for one, two in zip(first, second, strict=True)
     ]
 
--- a/packages/fescuedrum/src/fescuedrum/decisions/experts/improvement.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/experts/improvement.py
@@ -1,34 +1,35 @@
-"""Mend a placement by single moves, the most balance for each fetched expert first.
+"""Improve a placement by single moves, those with the most gain per fetch first.
 
-Load pattern: drift leaves a few ranks too busy for any shares to help. Planning from
-nothing would move most weights; a handful of well-chosen ones is mostly enough. A move
-gives an idle rank a replica of an expert of the busiest rank, in a free slot or in that
-of an expert that has other replicas, or lets two ranks exchange an expert each.
+Load pattern: drift leaves a few ranks so busy that no change of the shares is enough.
+Planning from scratch would move most weights, although a few well-chosen moves are
+usually sufficient. A move either gives an idle rank a replica of an expert of the
+busiest rank, in a free slot or in place of an expert that has other replicas, or lets
+two ranks exchange an expert.
 """
 
 from dataclasses import dataclass
 
 from fescuedrum.decisions.experts import split
 
-# Ranks with the least time that are tried as receivers; more found no better moves.
+# Least loaded ranks that are tried as targets; trying more found no better moves.
 MAX_TARGET_RANKS = 12
-# Busiest ranks that are tried as givers, one after another: ranks that share experts
-# are equally busy, and often only one of them has something that another can take.
+# Busiest ranks that are tried as sources, one after another. Ranks that share experts
+# are equally busy, and often only one of them has an expert that can be moved.
 MAX_SOURCE_RANKS = 6
-# Estimated moves of one giver that are tried in full.
+# Number of estimated moves of a source rank that are evaluated exactly.
 MAX_TRIALS = 6
-# A trial divides only the experts that it touches; sweeps over all follow its success.
+# Sweeps over the affected experts in a trial, and over all experts after a success.
 TRIAL_SWEEPS = 2
 MOVE_SWEEPS = 2
-# Over the ideal by this factor, counts of replicas are corrected before the search.
+# Above this multiple of the ideal time, replica counts are corrected before the search.
 COUNT_CORRECTION_RATIO = 1.5
-# A move must lower the sum of squares by this part, else it is not worth its weights.
+# Fraction by which a move must reduce the sum of squares to be worth its fetches.
 MIN_GAIN = 1e-5
 
 
 @dataclass(slots=True, frozen=True)
 class Replicate:
-    """Place a replica on a rank, in the slot of another expert or in a free one."""
+    """Add a replica of an expert to a rank, in place of victim unless it is None."""
 
     expert: int
     rank: int
@@ -38,7 +39,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Exchange:
-    """Let two ranks exchange an expert each."""
+    """Swap an expert of one rank for an expert of another."""
 
     expert: int
     rank: int
@@ -49,14 +50,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Estimate:
-    """Hold a move and how much it is thought to gain for each fetch."""
+    """Hold a move and its estimated gain per fetch."""
 
     gain: float
     move: Replicate | Exchange
 
 
 class Improver:
-    """Hold one layer's placement while it is mended."""
+    """Improve the placement of one layer."""
 
     __slots__ = ("held", "layer_map", "loads", "slots", "speeds", "times")
 
@@ -69,7 +70,7 @@
         self.held = self.tokens_by_rank()
 
     def tokens_by_rank(self):
-        """Return for each rank its experts and their tokens there."""
+        """Return for each rank a dict of its experts and their tokens on it."""
         held = [{} for _ in self.speeds]
         for expert, ranks in enumerate(self.layer_map.hosts):
             for rank, share in zip(ranks, self.layer_map.shares[expert], strict=True):
@@ -77,9 +78,10 @@
         return held
 
     def run(self, target, moves):
-        """Mend until the slowest rank is within target of the ideal, or no move helps.
+        """Make moves until the slowest rank takes at most target times the ideal time.
 
-        Return how many experts are to be fetched.
+        Stop earlier when no move helps or when the given number of experts has been
+        fetched. Return how many experts must be fetched.
         """
         ideal = sum(self.loads) / sum(self.speeds)
         fetched = 0
@@ -95,11 +97,11 @@
         return fetched
 
     def correct_replica_counts(self, ideal, moves):
-        """Give slots of experts with too many replicas to those with too few.
+        """Give slots of experts with too many replicas to experts with too few.
 
-        After a shift a hot expert lacks dozens of replicas in a large group. Which
-        expert lacks and which can spare them needs no search, and single moves would
-        take longer than a second.
+        After a shift in a large group, a hot expert lacks dozens of replicas. Which
+        experts have too few or too many is known without a search, and searching for
+        single moves would take longer than a second.
         """
         hosts = self.layer_map.hosts
         wanted = [max(1, round(load / ideal)) for load in self.loads]
@@ -125,7 +127,7 @@
         return fetched
 
     def make_best_move(self):
-        """Make the first moves that help; return how many fetches they need."""
+        """Make the first moves that help; return the number of fetches, 0 if none."""
         live = [rank for rank, speed in enumerate(self.speeds) if speed]
         live.sort(key=self.times.__getitem__)
         for source_rank in reversed(live[-MAX_SOURCE_RANKS:]):
@@ -135,6 +137,7 @@
         return 0
 
     def try_source_rank(self, source_rank, target_ranks):
+        """Make the best moves from a rank; return the number of fetches, 0 if none."""
         found = self.estimate_moves(source_rank, target_ranks)
         estimates = sorted(found, key=lambda each: -each.gain)
         before = self.sum_of_squares(self.times)
@@ -162,10 +165,10 @@
         return 0
 
     def combine_replications(self, estimates):
-        """Return the first move, and more replicas of its expert if it needs them.
+        """Return the first move and, if its expert needs them, more replications.
 
-        After a shift a hot expert lacks dozens of replicas in a large group; one at a
-        time would take seconds.
+        After a shift in a large group, a hot expert lacks dozens of replicas. Adding
+        them one at a time would take seconds.
         """
         first = estimates[0].move
         if isinstance(first, Exchange):
@@ -186,11 +189,13 @@
         return moves
 
     def sum_of_squares(self, times):
+        """Return the sum of the squares of the ranks' times, weighted by speed."""
         return sum(
             time * time * speed for time, speed in zip(times, self.speeds, strict=True)
         )
 
     def estimate_moves(self, source_rank, target_ranks):
+        """Yield Estimates of the moves from a rank to the target ranks."""
         for expert, tokens in self.held[source_rank].items():
             for rank in target_ranks:
                 if rank != source_rank and expert not in self.held[rank]:
@@ -211,20 +216,24 @@
                 yield Estimate(gain, Replicate(expert, rank, victim))
 
     def replication_gain(self, expert, rank, freed):
-        """Estimate the gain when an expert's ranks and one more reach one time."""
+        """Estimate the gain from adding a rank to an expert's hosts.
+
+        The estimate assumes that the hosts and the added rank reach the same time.
+        freed is the number of tokens that the rank loses with the replaced expert.
+        """
         hosts = self.layer_map.hosts[expert]
         speed = sum(self.speeds[host] for host in hosts)
         tokens = sum(self.times[host] * self.speeds[host] for host in hosts)
         here = self.times[rank] * self.speeds[rank] - freed
         joint = speed + self.speeds[rank]
         before = tokens * tokens / speed + self.square_term(rank, here + freed)
-        # The replica can't take more than the expert has.
+        # The replica can't take more tokens than the expert has.
         taken = min(self.loads[expert], tokens - speed * (tokens + here) / joint)
         after = (tokens - taken) ** 2 / speed + self.square_term(rank, here + taken)
         return before - after
 
     def eviction_loss(self, hosts, rank, tokens):
-        """Estimate the loss when the victim's other ranks take its tokens."""
+        """Estimate the loss when the victim's other hosts take over its tokens."""
         others = [host for host in hosts if host != rank]
         part = tokens / len(others)
         return sum(
@@ -249,11 +258,12 @@
                 yield Estimate(gain, Exchange(expert, source_rank, other_expert, rank))
 
     def square_term(self, rank, tokens):
+        """Return a rank's term of sum_of_squares()."""
         return tokens * tokens / self.speeds[rank]
 
 
 def apply_move(move, layer_map):
-    """Make a move; a new replica starts without a share."""
+    """Apply a move to a map; a new replica starts with a share of 0."""
     match move:
         case Replicate(expert, rank, victim):
             if victim is not None:
@@ -266,6 +276,7 @@
 
 
 def affected_experts(move):
+    """Return the experts whose hosts a move changes."""
     match move:
         case Replicate(expert, _, victim):
             return [expert] if victim is None else [expert, victim]
@@ -274,7 +285,7 @@
 
 
 def remove_host(layer_map, expert, rank):
-    """Take an expert from a rank; its other ranks share alike what it had."""
+    """Remove an expert from a rank and divide its share equally among other hosts."""
     index = layer_map.hosts[expert].index(rank)
     layer_map.hosts[expert].pop(index)
     share = layer_map.shares[expert].pop(index)
--- a/packages/fescuedrum/src/fescuedrum/decisions/experts/pace.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/experts/pace.py
@@ -1,57 +1,61 @@
-"""Notice from the pace of streams that a group's passes have become longer.
-
-Load pattern: a group makes one event of each stream in a pass, so the time between two
-events of any stream is the length of a pass. When demand for experts moves, passes get
-longer at once, by a third and more. Counts of experts tell the same, but each read of
-them costs, is a sample of few requests, and needs an interval of its own.
-
-A single long pass is a prompt that was read, and a steady rise is load. So a slowdown
-is taken for a move of demand when the events of the last passes came late against what
-is usual, half of them clearly and all of them a little.
-
-What is usual follows only passes that are not slow. While a change of the map is under
-way, or takes seconds because orders are lost, every pass is slow, and demand may move
-again: if the slow passes became the usual ones, that move would go unnoticed until the
-counts are read for another reason. What is usual outlives the change, so that passes
-which do not get shorter by it are noticed at once. Where the demand was measured and
-the map suits it, slow passes are load, and the keeper accepts them as the usual ones.
+"""Detect from the timing of streams that a group's passes have become longer.
+
+Load pattern: a group produces one event of each stream per pass, so the time between
+two events of any stream is the length of a pass. When demand for experts shifts, passes
+become longer at once, by a third or more. Counts of experts show the same, but reading
+them is expensive, samples few requests, and requires an interval between two reads.
+
+A single long pass is caused by reading a prompt, and a steady rise is caused by load.
+So a slowdown counts as a shift of demand only if, compared with the baseline, the
+median of the latest passes is much longer and all of them are at least a little longer.
+
+The baseline follows only passes that are not slow. While a map change is in progress,
+which takes seconds if orders are lost, every pass is slow, and demand may shift again.
+If the slow passes became the baseline, that shift would go unnoticed until the counts
+are read for another reason. The baseline is kept after the change, so that passes which
+do not become shorter are noticed at once. If demand was measured and the map suits it,
+slow passes are caused by load, and the keeper makes them the new baseline.
 """
 
 from collections import deque
 from statistics import median
 
+# Length of a pass over the baseline: of the median pass, and of the shortest one.
 SLOWDOWN_RATIO = 1.17
 MIN_SLOWDOWN_RATIO = 1.05
+# Window in which a slowdown is looked for; at least this many passes long.
 RECENT_SECONDS = 0.2
-# Where passes are long, as many of them as fit into RECENT_SECONDS else.
 RECENT_PASSES = 3.5
 MIN_RECENT_EVENTS = 3
-# How far back events are kept, and how many of them make a pace known.
+# How long events are kept, and how many are needed to detect a slowdown.
 RETENTION_SECONDS = 1.5
 MIN_RETAINED_EVENTS = 8
-# Time in which what is usual follows longer passes, and shorter ones.
+# Time constants with which the baseline follows longer and shorter passes.
 RISE_SECONDS = 1.5
 FALL_SECONDS = 0.4
-# How far back the present pace goes: half a dozen passes under load.
+# Window of the current pass length: half a dozen passes under load.
 CURRENT_WINDOW_SECONDS = 0.6
 
 
 class PassTimer:
-    """Follow the time between events of all streams of one service, in seconds."""
+    """Track the length of passes from the events of one service's streams.
+
+    All times are in seconds.
+    """
 
     __slots__ = ("baseline", "baseline_at", "ignored_until", "intervals")
 
     def __init__(self):
-        # (time of an event, time since the event before it).
+        # (time of an event, time since the previous event of the stream).
         self.intervals = deque()
-        # Length of passes that are not slow; None until it is known.
+        # Length of passes that are not slow; None until known.
         self.baseline = None
         self.baseline_at = 0.0
-        # Until then passes still have the map that is being replaced.
+        # Passes before this time still use the map that is being replaced.
         self.ignored_until = float("-inf")
 
     def observe(self, interval, now):
-        """Take the time between two events of one stream."""
+        """Record the time between two events of one stream."""
         if now < self.ignored_until:
             return
         self.intervals.append((now, interval))
@@ -60,7 +64,7 @@
         self.update_baseline(interval, now)
 
     def update_baseline(self, interval, now):
-        """Let what is usual follow a pass that is not slow."""
+        """Move the baseline towards the length of a pass that is not slow."""
         if self.baseline is None:
             if self.has_enough_events(now):
                 self.set_baseline(now)
@@ -68,30 +72,30 @@
         if interval >= SLOWDOWN_RATIO * self.baseline:
             return
         span = RISE_SECONDS if interval > self.baseline else FALL_SECONDS
-        # Events of one pass come together; only the first of them has a weight.
+        # Events of one pass arrive together, so only the first one has a weight.
         weight = min((now - self.baseline_at) / span, 1.0)
         self.baseline += weight * (interval - self.baseline)
         self.baseline_at = now
 
     def set_baseline(self, now):
-        """Take the present pace for the usual one: demand is not what slows it."""
+        """Make the current pass length the baseline; it is not due to demand."""
         self.baseline = self.current_pass_seconds(now)
         self.baseline_at = now
 
     def ignore_events_until(self, until):
-        """Pass over events until a new map is in force, in loop time."""
+        """Ignore events until a new map is in force, given as loop time."""
         self.intervals.clear()
         self.ignored_until = until
 
     def has_enough_events(self, now):
-        """Tell whether there are events enough to notice a slowdown."""
+        """Return whether there are enough events to detect a slowdown."""
         current = [
             interval for at, interval in self.intervals if at >= now - RETENTION_SECONDS
         ]
         return len(current) >= MIN_RETAINED_EVENTS
 
     def current_pass_seconds(self, now):
-        """Return how long passes are at present; None when unknown."""
+        """Return the current length of passes, or None if unknown."""
         recent = [
             interval
             for at, interval in self.intervals
@@ -100,7 +104,7 @@
         return median(recent) if len(recent) >= MIN_RECENT_EVENTS else None
 
     def has_slowed_down(self, now):
-        """Tell whether the events of the last passes came later than usual."""
+        """Return whether the latest passes are longer than the baseline."""
         if self.baseline is None:
             return False
         since = now - max(RECENT_SECONDS, RECENT_PASSES * self.baseline)
--- a/packages/fescuedrum/src/fescuedrum/decisions/experts/packing.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/experts/packing.py
@@ -1,12 +1,14 @@
-"""Place a layer's experts on ranks from nothing: greedy filling.
-
-Load pattern: a group starts, or its popularity has changed so much that mending the
-old placement would move as much as a new one. Ranks are filled one after another to
-the same time; an expert that doesn't fit in the rest of a rank is cut there and goes on
-at the next, so that an expert gets as many replicas as it needs and no more. Ranks with
-few slots go first, while hot experts are left to fill them alone. Where slots are too
-few for so many cuts (about two or three a rank), equal replicas, largest first, come
-out better; the better of both is taken.
+"""Place a layer's experts on ranks from scratch with greedy filling.
+
+Load pattern: a group starts, or popularity has changed so much that improving the old
+placement would move as many experts as a new one.
+
+Ranks are filled one after another to the same time. An expert that does not fit into
+the rest of a rank is cut, and its remainder is placed on the next rank, so an expert
+gets no more replicas than it needs. Ranks with few slots are filled first, while there
+are still hot experts that fill them alone. With only two or three slots per rank there
+are too few for these cuts, and equal replicas, placed largest first, give a better
+result. The better of both placements is used.
 """
 
 import bisect
@@ -14,19 +16,20 @@
 
 from fescuedrum.decisions.experts.placement import LayerMap, rank_times
 
-# A whole expert this near to a rank's rest is taken uncut, to save a slot.
+# An expert that fits a rank's free room within this tolerance is not cut; cuts use up
+# slots.
 FIT_TOLERANCE = 0.02
 
 
 class GreedyFill:
-    """Hold the experts that are not wholly placed yet, smallest rest first."""
+    """Hold the pieces placed so far and the remaining loads, in ascending order."""
 
     __slots__ = ("cuts_left", "placed", "remaining")
 
     def __init__(self, loads, slots):
         self.remaining = sorted((load, expert) for expert, load in enumerate(loads))
         self.placed = {}
-        # Cuts that the slots still allow.
+        # Cuts that the number of slots still allows.
         self.cuts_left = sum(slots) - len(loads)
 
     def pop(self, index):
@@ -36,7 +39,7 @@
         self.placed.setdefault(expert, []).append((rank, load))
 
     def add_pieces(self, rank, slots, room):
-        """Put up to as many pieces on a rank as it has slots."""
+        """Add pieces to a rank until its slots or its room are used up."""
         while slots > 1 and self.remaining and room > 0:
             index = self.nearest_index(room / slots, rank)
             load, expert = self.pop(index)
@@ -50,7 +53,7 @@
             self.add_last_piece(rank, room)
 
     def nearest_index(self, size, rank):
-        """Return the index of the expert whose rest is nearest to the size."""
+        """Return the index of the expert whose remaining load is closest to size."""
         index = bisect.bisect_left(self.remaining, (size,))
         if index == len(self.remaining):
             return index - 1
@@ -62,12 +65,13 @@
         return index
 
     def add_last_piece(self, rank, room):
+        """Fill the last slot of a rank, cutting the largest expert if none fits."""
         index = self.nearest_index(room, rank)
         load, _ = self.remaining[index]
         fits = abs(load - room) <= FIT_TOLERANCE * room
         cut_from = bisect.bisect_left(self.remaining, (room,))
         if not fits and self.cuts_left > 0 and cut_from < len(self.remaining):
-            # The largest is cut: it needs several ranks in any case.
+            # The largest expert is cut, because it needs several ranks in any case.
             load, expert = self.pop(-1)
             self.add(rank, room, expert)
             self.cuts_left -= 1
@@ -78,7 +82,7 @@
 
 
 def pack(loads, topology, layer):
-    """Return a new placement of one layer, not yet balanced to the last token."""
+    """Return a new placement of one layer whose shares are not yet balanced."""
     cut = pack_with_cuts(loads, topology, layer)
     equal = pack_equal_replicas(loads, topology, layer)
     return min(
@@ -87,7 +91,10 @@
 
 
 def pack_equal_replicas(loads, topology, layer):
-    """Give the hottest experts replicas of equal shares; place the largest first."""
+    """Return a placement in which all replicas of an expert have equal shares.
+
+    The largest pieces are placed first, each on the least loaded rank.
+    """
     slots = list(topology.slots[layer])
     pieces = cut_equal_pieces(loads, sum(slots), sum(1 for count in slots if count))
     waiting = [
@@ -97,10 +104,10 @@
     heapq.heapify(waiting)
     placed = {}
     for load, expert in pieces:
-        here = {rank for rank, _ in placed.get(expert, ())}
-        passed = []
-        while waiting and waiting[0][-1] in here:
-            passed.append(heapq.heappop(waiting))
+        hosts = {rank for rank, _ in placed.get(expert, ())}
+        skipped = []
+        while waiting and waiting[0][-1] in hosts:
+            skipped.append(heapq.heappop(waiting))
         if waiting:
             time, _, rank = heapq.heappop(waiting)
             placed.setdefault(expert, []).append((rank, load))
@@ -108,13 +115,13 @@
             if slots[rank]:
                 time += load / topology.speeds[rank]
                 heapq.heappush(waiting, (time, -slots[rank], rank))
-        for each in passed:
+        for each in skipped:
             heapq.heappush(waiting, each)
     return to_layer_map(placed, loads)
 
 
 def cut_equal_pieces(loads, slots, ranks):
-    """Cut the experts with the largest pieces until there is one for each slot."""
+    """Cut the experts with the largest pieces until there is a piece for each slot."""
     counts = [1] * len(loads)
     largest = [(-load, expert) for expert, load in enumerate(loads)]
     heapq.heapify(largest)
@@ -134,7 +141,7 @@
 
 
 def pack_with_cuts(loads, topology, layer):
-    """Fill one rank after another to the same time, cutting experts to fit."""
+    """Return a placement that fills each rank to the same time, cutting experts."""
     slots = topology.slots[layer]
     total = sum(loads)
     per_speed = total / sum(topology.speeds)
@@ -146,10 +153,10 @@
 
 
 def fill_order(topology, slots):
-    """Order ranks by slots, and in turn from all domains among equals.
+    """Return the ranks ordered by slots and, among equals, alternating between domains.
 
-    An expert's replicas lie on ranks next to each other in this order, so the loss of a
-    domain leaves the others.
+    The replicas of an expert are on consecutive ranks in this order, so they are in
+    different domains, and the loss of one domain leaves the others.
     """
     seen = {}
     positions = []
@@ -163,7 +170,7 @@
 
 
 def place_remaining(fill, topology, slots):
-    """Give what is left to the ranks with free slots and the least time."""
+    """Place each remaining expert on the least loaded rank with a free slot."""
     used = [0] * topology.ranks
     tokens = [0.0] * topology.ranks
     for pieces in fill.placed.values():
@@ -173,10 +180,10 @@
     free = [rank for rank in range(topology.ranks) if used[rank] < slots[rank]]
     while fill.remaining:
         load, expert = fill.pop(-1)
-        here = {rank for rank, _ in fill.placed.get(expert, ())}
-        open_ranks = [rank for rank in free if rank not in here]
+        hosts = {rank for rank, _ in fill.placed.get(expert, ())}
+        open_ranks = [rank for rank in free if rank not in hosts]
         if not open_ranks:
-            # Every free rank holds it already; balancing gives those the rest.
+            # Every free rank holds it already; balancing gives them the remaining load.
             continue
         rank = min(open_ranks, key=lambda each: tokens[each] / topology.speeds[each])
         fill.add(rank, load, expert)
@@ -187,6 +194,7 @@
 
 
 def to_layer_map(placed, loads):
+    """Return the LayerMap of placed pieces, merging pieces on the same rank."""
     hosts, shares = [], []
     for expert in range(len(loads)):
         merged = {}
@@ -202,10 +210,10 @@
 
 
 def match_ranks(layer_map, current, topology, layer):
-    """Name the ranks of a new placement so that they keep what they hold now.
+    """Renumber the ranks of a new placement so that they keep most of their experts.
 
-    Ranks with equal slots and speed stand in for each other; the pairs of new and old
-    rank with the most experts in common go first.
+    Ranks with equal slots and speed are interchangeable. Pairs of a new and an old rank
+    are matched in the order of the number of experts that they have in common.
     """
     common = {}
     for expert, ranks in enumerate(layer_map.hosts):
@@ -224,6 +232,7 @@
 
 
 def match_remaining_ranks(old_ranks, taken, kinds):
+    """Match new ranks without an old rank to the old ones left, in place."""
     free = {}
     for rank, kind in enumerate(kinds):
         if rank not in taken:
--- a/packages/fescuedrum/src/fescuedrum/decisions/experts/placement.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/experts/placement.py
@@ -1,14 +1,14 @@
-"""Describe a group's ranks and its expert map.
+"""Describe the ranks of a group and its expert map.
 
-Load pattern: popularity of experts is uneven, and every layer ends with an exchange
-among all ranks, so a layer lasts as long as its slowest rank. A hot expert on one rank
-would hold up all others; replicas of it share its tokens by stated shares, which may be
-unequal, so that a slow rank or one with other work gets less.
+Load pattern: the popularity of experts is uneven, and every layer ends with an exchange
+among all ranks, so a layer takes as long as its slowest rank. Without replicas, a rank
+with a hot expert would delay all others. Replicas divide the tokens of an expert by
+explicit shares, which may be unequal, so that slow or busy ranks get fewer tokens.
 
-Slots: a layer has 1.25 times as many slots as it has experts. With more ranks than
-experts that would leave ranks without work, so there the factor applies to the ranks.
-Slots that don't divide evenly go to other ranks in each layer, so that the memory of
-all ranks is the same over the layers.
+A layer has 1.25 times as many slots as experts. In groups with more ranks than experts
+this would leave ranks without work, so there the factor is applied to the ranks. Slots
+that can't be divided evenly are given to different ranks in each layer, so that all
+ranks need the same memory for all layers together.
 """
 
 import math
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Topology:
-    """Hold the ranks of a group: relative speed (0 is lost), domain, slots by layer."""
+    """Hold the relative speed (0 if lost), domain and slots of each rank of a group."""
 
     speeds: tuple[float, ...]
     domains: tuple[int, ...]
@@ -36,7 +36,7 @@
         return len(self.slots)
 
     def with_speeds(self, speeds):
-        """Return the same group with other speeds; a lost rank has no slots."""
+        """Return a copy with the given speeds; ranks with speed 0 have no slots."""
         slots = tuple(
             tuple(
                 count if speed else 0
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True)
 class LayerMap:
-    """Hold, for each expert of a layer, its ranks and their shares of its tokens."""
+    """Hold the hosts of each expert of a layer and their shares of its tokens."""
 
     hosts: list[list[int]]
     shares: list[list[float]]
@@ -63,14 +63,14 @@
 
 @dataclass(slots=True)
 class ExpertMap:
-    """Hold the whole map of a group under its number; numbers only rise."""
+    """Hold the map of all layers of a group and its number, which only increases."""
 
     number: int
     layers: list[LayerMap]
 
 
 def build_topology(ranks, experts, layers, *, ranks_per_domain=8):
-    """Describe a group of equal ranks with the usual slots."""
+    """Return the Topology of a group of equal ranks with SLOT_FACTOR applied."""
     total = math.ceil(SLOT_FACTOR * max(ranks, experts))
     slots = tuple(spread_slots(total, ranks, layer) for layer in range(layers))
     domains = tuple(rank // ranks_per_domain for rank in range(ranks))
@@ -78,15 +78,15 @@
 
 
 def spread_slots(total, ranks, layer):
-    """Divide slots among ranks and give the rest to other ranks in each layer."""
+    """Return the slots of each rank; the remainder depends on the layer."""
     base, rest = divmod(total, ranks)
-    # Spaced out, so that the ranks with one more slot are in all domains.
+    # Ranks with an additional slot are spaced out over all domains.
     extra = {(index * ranks // rest + layer) % ranks for index in range(rest)}
     return tuple(base + (rank in extra) for rank in range(ranks))
 
 
 def rank_times(layer_map, loads, speeds):
-    """Return each rank's time for one layer, in tokens at speed 1."""
+    """Return each rank's time for one layer, as the number of tokens at speed 1."""
     tokens = [0.0] * len(speeds)
     for expert, ranks in enumerate(layer_map.hosts):
         load = loads[expert]
@@ -100,10 +100,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Skew:
-    """Hold step-time skew across ranks, all layers together.
+    """Hold step times of a group, each summed over all layers.
 
-    highest and mean are sums over layers of the slowest and the mean rank's time;
-    ideal is the time with the tokens spread perfectly over the ranks' speeds.
+    highest is the time of the slowest rank, mean the mean time of all ranks, and ideal
+    the time if the tokens were distributed in proportion to the ranks' speeds.
     """
 
     highest: float
@@ -112,17 +112,17 @@
 
     @property
     def max_to_mean(self):
-        """Return max/mean, the measure that operators read."""
+        """Return the highest time divided by the mean, the skew shown to operators."""
         return self.highest / self.mean if self.mean else 1.0
 
     @property
     def max_to_ideal(self):
-        """Return the step time over the best possible one; decisions use this."""
+        """Return the highest time divided by the ideal, the skew used in decisions."""
         return self.highest / self.ideal if self.ideal else 1.0
 
 
 def measure(expert_map, loads, topology):
-    """Return the skew of a map under loads[layer][expert]."""
+    """Return the Skew of a map for the given loads[layer][expert]."""
     highest = mean = ideal = 0.0
     live = sum(1 for speed in topology.speeds if speed)
     capacity = sum(topology.speeds)
@@ -135,12 +135,12 @@
 
 
 def count_fetches(old, new):
-    """Count (rank, expert) pairs, all layers, whose weights must be fetched."""
+    """Return the number of experts that ranks must fetch for a new map, all layers."""
     return sum(len(fetched) for fetched in find_fetches(old, new))
 
 
 def find_fetches(old, new):
-    """Return for each layer the (rank, expert) pairs that the new map adds."""
+    """Return for each layer the list of (rank, expert) pairs that a new map adds."""
     found = []
     for layer, layer_map in enumerate(new.layers):
         before = old.layers[layer].hosts if old else [[]] * len(layer_map.hosts)
@@ -156,10 +156,11 @@
 
 
 def skew_lower_bound(loads, topology):
-    """Return the least skew that any map with these slots could reach.
+    """Return a lower bound of the skew of any map with these slots.
 
-    An expert with load L needs at least L / (T * fastest) slots to keep every rank
-    within T; the slots of a layer bound the sum. No map is proven to reach it.
+    To keep every rank's time within T, an expert with load L needs at least
+    L / (T * fastest) slots, and a layer has a limited number of slots. It is not proven
+    that a map can reach the bound.
     """
     capacity = sum(topology.speeds)
     fastest = max(topology.speeds)
@@ -172,7 +173,7 @@
 
 
 def search_min_time(loads, ideal_time, fastest, slots):
-    """Search the least time at which the experts' pieces fit the slots."""
+    """Return the shortest time at which the pieces of all experts fit the slots."""
     low, high = ideal_time, ideal_time * len(loads)
     if count_slots_needed(loads, low * fastest) <= slots:
         return low
@@ -186,4 +187,5 @@
 
 
 def count_slots_needed(loads, size):
+    """Return the number of pieces if no piece of an expert is larger than size."""
     return sum(max(1, math.ceil(load / size - 1e-9)) for load in loads)
--- a/packages/fescuedrum/src/fescuedrum/decisions/experts/planner.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/experts/planner.py
@@ -1,13 +1,13 @@
-"""Decide whether a group's expert map should change, and to which.
+"""Decide whether to change a group's expert map, and plan the new map.
 
-Load pattern: popularity drifts through the day, shifts sharply at noon, flaps at
-random, and now and then a rank is slow or lost. A static map lets one rank hold up all
-others; a new plan at each interval keeps them even but moves nearly all weights.
+Load pattern: popularity drifts through the day, shifts abruptly at noon and flaps at
+random, and occasionally a rank is slow or lost. With a static map one rank delays all
+others. A new plan at each interval keeps them balanced but moves nearly all weights.
 
-Three kinds of change are weighed, from cheap to dear: other shares on the same ranks,
-a few moves, a new placement named so that ranks keep most of what they hold. The one
-that saves the most after its cost is taken, or none. While popularity is unsettled, at
-least half an hour lies between changes.
+Three types of change are compared, from cheap to expensive: new shares on the same
+ranks, a few moves, and a new placement whose ranks are renumbered so that they keep
+most of their experts. The change that saves the most after its cost is made, if any.
+While popularity is unstable, there is at least half an hour between changes.
 """
 
 import enum
@@ -20,32 +20,34 @@
 from fescuedrum.decisions.experts.improvement import Improver
 from fescuedrum.decisions.experts.placement import ExpertMap, LayerMap, measure
 
-# Mending ends here: the rest up to 1 is less than noise would undo.
+# Time over the ideal at which moves end; further gains would be undone by noise.
 MOVE_TARGET = 1.01
-# Fewer moves for less balance are weighed as well.
+# Changes with fewer moves and less balance are compared as well.
 MOVE_TARGETS = (1.03, MOVE_TARGET)
-# Other shares alone suffice up to here, a few moves up to FRESH.
+# Time over the ideal up to which new shares are enough, and up to which moves are.
 SHARES_SUFFICE = 1.02
 MOVES_SUFFICE = 1.05
-# Fetches in one change and layer, as a part of its slots, before a new placement.
+# Limit on fetches for the moves in a layer, as a fraction of its slots.
 MAX_FETCHED_FRACTION = 0.25
-UNSETTLED_SPACING_SECONDS = 1800.0
-CHANGES_AFTER_JUMP = 2
+# Minimum time between changes while popularity is unstable.
+UNSTABLE_SPACING_SECONDS = 1800.0
+# Limit on changes since the first shift of the last hour.
+MAX_CHANGES_AFTER_SHIFT = 2
 
 
 class ChangeType(enum.StrEnum):
-    """Name the kinds of change, cheapest first."""
+    """Enumerate the types of change, cheapest first."""
 
     SHARES = "shares"
     MOVES = "moves"
     PLACEMENT = "placement"
-    # Experts without a rank, after one was lost: due whatever it costs.
+    # Places experts that are left without a host by a lost rank, whatever the cost.
     RESTORE = "restore"
 
 
 @dataclass(slots=True, frozen=True)
 class Plan:
-    """Hold a change that pays: the new map, its kind and its balance."""
+    """Hold a new map, the type of the change and its cost and savings."""
 
     kind: ChangeType
     expert_map: ExpertMap
@@ -53,7 +55,7 @@
 
 
 class Planner:
-    """Follow one group's loads and plan its changes."""
+    """Plan changes of one group's map from its loads."""
 
     __slots__ = ("changes", "costs", "forecaster", "topology")
 
@@ -68,12 +70,12 @@
         self.forecaster.observe(loads, now)
 
     def set_speeds(self, speeds):
-        """Take the ranks' measured speeds; 0 is a rank that is lost or stalled."""
+        """Set the measured speeds of the ranks; 0 means lost or stalled."""
         if speeds != self.topology.speeds:
             self.topology = self.topology.with_speeds(speeds)
 
     def plan(self, current, now):
-        """Return the Plan that saves the most after its cost; None when none pays."""
+        """Return the Plan with the highest net savings, or None if none is positive."""
         if self.has_lost_ranks(current):
             return self.restore(current, now)
         forecast = self.forecaster.forecast()
@@ -93,18 +95,19 @@
         return best
 
     def must_wait(self, forecast, now):
-        """Tell whether popularity is too restless for another change now."""
+        """Return whether it is too early for another change after recent shifts."""
         while self.changes and now - self.changes[0] >= WINDOW_SECONDS:
             self.changes.popleft()
         first_shift_at = self.forecaster.first_shift_at()
         if not self.changes or first_shift_at is None:
             return False
         if not forecast.is_stable:
-            return now - self.changes[-1] < UNSETTLED_SPACING_SECONDS
-        since = sum(1 for at in self.changes if at >= first_shift_at)
-        return since >= CHANGES_AFTER_JUMP
+            return now - self.changes[-1] < UNSTABLE_SPACING_SECONDS
+        changes = sum(1 for at in self.changes if at >= first_shift_at)
+        return changes >= MAX_CHANGES_AFTER_SHIFT
 
     def assess(self, kind, current, expert_map, samples, valid_seconds):
+        """Return the Plan for a new map, with its cost and savings."""
         current_time = self.mean_time(current, samples)
         changed_time = self.mean_time(expert_map, samples)
         balance = cost.assess(
@@ -113,13 +116,14 @@
         return Plan(kind, expert_map, balance)
 
     def mean_time(self, expert_map, samples):
+        """Return the mean time of a map over the ideal time for several loads."""
         times = [
             measure(expert_map, each, self.topology).max_to_ideal for each in samples
         ]
         return sum(times) / len(times)
 
     def candidate_maps(self, current, loads):
-        """Yield changes, cheapest first; dear ones only where cheap ones fall short."""
+        """Yield (type, map) of changes, cheapest first, until one is good enough."""
         topology = self.topology
         now_time = measure(current, loads, topology).max_to_ideal
         if now_time <= 1 + self.costs.min_saving:
@@ -142,6 +146,7 @@
         )
 
     def change_layers(self, current, loads, change):
+        """Return a new map; change(layer, layer_map, loads) returns each LayerMap."""
         layers = [
             change(layer, layer_map, loads[layer])
             for layer, layer_map in enumerate(current.layers)
@@ -164,6 +169,7 @@
         return packing.match_ranks(fresh, layer_map, self.topology, layer)
 
     def has_lost_ranks(self, current):
+        """Return whether a map places experts on lost ranks."""
         return any(
             not self.topology.speeds[rank]
             for layer_map in current.layers
@@ -172,7 +178,7 @@
         )
 
     def restore(self, current, now):
-        """Take lost ranks out of the map and place experts that have none left."""
+        """Return a Plan without lost ranks that places all experts on other ranks."""
         forecast = self.forecaster.forecast()
         restored = self.change_layers(current, forecast.loads, self.restore_layer)
         self.changes.append(now)
@@ -197,7 +203,7 @@
 
 
 def place(loads, topology, layer):
-    """Return a new, mended placement of one layer."""
+    """Return a new placement of one layer."""
     fresh = packing.pack(loads, topology, layer)
     slots = topology.slots[layer]
     improver = Improver(fresh, loads, topology.speeds, slots)
@@ -206,13 +212,13 @@
 
 
 def build_expert_map(loads, topology, number=1):
-    """Return a new map of the whole group, as a group starts with."""
+    """Return a new map of all layers that does not depend on an earlier map."""
     layers = [place(loads[layer], topology, layer) for layer in range(topology.layers)]
     return ExpertMap(number, layers)
 
 
 def remove_lost_ranks(layer_map, speeds):
-    """Return the map without ranks that are lost; the others share their part."""
+    """Return a map without lost ranks; other hosts divide their shares equally."""
     hosts, shares = [], []
     for ranks, parts in zip(layer_map.hosts, layer_map.shares, strict=True):
         kept = [
@@ -227,7 +233,7 @@
 
 
 def place_unplaced(layer_map, expert, speeds, slots):
-    """Place an expert that has no rank: in a free slot, else in a replica's."""
+    """Place an expert without hosts in a free slot or in place of a replica."""
     used = [0] * len(speeds)
     replicas = []
     for other, ranks in enumerate(layer_map.hosts):
--- a/packages/fescuedrum/src/fescuedrum/decisions/experts/split.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/experts/split.py
@@ -1,21 +1,22 @@
-"""Divide each expert's tokens among its replicas so that the slowest rank is fastest.
+"""Divide each expert's tokens among its replicas to minimise the slowest rank's time.
 
-Load pattern: popularity drifts a little all day. Replicas tie ranks together, so
-most drift can be met by other shares on the same ranks, and no weights move. Equal
-shares, the usual rule, leave a rank that also holds a warm expert behind the others.
+Load pattern: popularity drifts a little all day. Replicas connect ranks, so most drift
+can be compensated by new shares on the same ranks without moving weights. With equal
+shares, which are commonly used, a rank that also holds another popular expert would be
+slower than the others.
 
 The shares minimise the sum of squares of the ranks' times, one expert at a time until
-nothing moves. For divisions of this kind the least sum of squares is also the least
-maximum, so the sweeps lead to the best shares for the placement.
+the shares converge. For such divisions the minimum of the sum of squares is also the
+minimum of the maximum, so the sweeps converge to the best shares for the placement.
 """
 
 MAXIMUM_SWEEPS = 30
-# Sweeps end when one lowers the slowest rank by less than this part.
+# Sweeps end when the time of the slowest rank drops by less than this fraction.
 TOLERANCE = 5e-4
 
 
 def balance_shares(layer_map, loads, speeds, *, sweeps=MAXIMUM_SWEEPS, experts=None):
-    """Set the shares of a layer's experts, or of some; return the ranks' times."""
+    """Set the shares of a layer's experts, or some of them; return the ranks' times."""
     tokens = [0.0] * len(speeds)
     amounts = []
     for expert, ranks in enumerate(layer_map.hosts):
@@ -37,6 +38,7 @@
 
 
 def to_times(tokens, speeds):
+    """Return each rank's time for its tokens, 0 for lost ranks."""
     return [
         part / speed if speed else 0.0
         for part, speed in zip(tokens, speeds, strict=True)
@@ -44,7 +46,8 @@
 
 
 def sweep_until_converged(hosts, loads, speeds, amounts, tokens, shared, sweeps):
-    # Alternating directions carry a surplus along a chain of ranks in one sweep.
+    """Divide the shared experts until the slowest rank's time converges, in place."""
+    # Alternating directions move a surplus along a chain of ranks in one sweep.
     highest = max(to_times(tokens, speeds))
     for sweep in range(sweeps):
         for expert in shared if sweep % 2 else reversed(shared):
@@ -57,7 +60,7 @@
 
 
 def divide_expert(expert, hosts, loads, speeds, amounts, tokens):
-    """Fill one expert's ranks to a common time, as water fills a vessel."""
+    """Divide one expert so that its ranks reach a common time, by water-filling."""
     ranks = hosts[expert]
     parts = amounts[expert]
     levels = []
--- a/packages/fescuedrum/src/fescuedrum/decisions/experts/stragglers.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/experts/stragglers.py
@@ -1,24 +1,26 @@
-"""Tell a slow rank from an overloaded one, and a stalled rank from a slow one.
+"""Distinguish slow ranks from overloaded ones, and stalled ranks from slow ones.
 
-Load pattern: one rank's accelerator runs hot and slows down. Its steps last long
-although its share of the tokens is ordinary; taking more of the popular experts from
-it as if it were overloaded would not end, since its measured load never was the cause.
-A rank's time divided by its tokens shows its speed; its share then shrinks with it.
+Load pattern: an accelerator overheats and slows down. The rank's steps take long
+although its share of the tokens is normal. If it were treated as overloaded, popular
+experts would be moved away from it again and again, because load is not the cause. The
+speed of a rank is measured from its tokens and its time, and its share of the tokens is
+reduced accordingly.
 """
 
 import statistics
 
+# Weight of a new measurement in the speed.
 SPEED_WEIGHT = 0.3
-# Speeds within this of 1 count as 1: measured times wobble.
+# Speeds that differ from 1 by less count as 1, because measured times vary.
 NORMAL_TOLERANCE = 0.05
-# Speeds are rounded to these steps, so that wobble alone plans nothing.
+# Speeds are rounded to multiples of this, so that variations alone cause no plan.
 SPEED_STEP = 0.05
-# A rank slower than this holds the group up whatever its share: it counts as lost.
+# A slower rank counts as lost, because it delays the group whatever its share.
 MIN_SPEED = 0.2
 
 
 class SpeedMeter:
-    """Follow the speed of each rank relative to the group's median."""
+    """Measure the speed of each rank relative to the group's median."""
 
     __slots__ = ("speeds",)
 
@@ -26,7 +28,7 @@
         self.speeds = [1.0] * ranks
 
     def observe(self, tokens, seconds):
-        """Take each rank's tokens and time of an interval; None is a stalled rank."""
+        """Record the ranks' tokens and times of an interval; None means stalled."""
         rates = [
             count / time if time and count else None
             for count, time in zip(tokens, seconds, strict=True)
@@ -34,18 +36,18 @@
         known = [rate for rate in rates if rate]
         if not known:
             return
-        usual = statistics.median(known)
+        median_rate = statistics.median(known)
         for rank, rate in enumerate(rates):
             if seconds[rank] is None:
                 self.speeds[rank] = 0.0
             elif rate:
-                step = rate / usual - self.speeds[rank]
-                # A clear change is no wobble: it is taken at once.
+                step = rate / median_rate - self.speeds[rank]
+                # A large change is not a variation of measured times; apply it fully.
                 weight = 1.0 if abs(step) > 4 * NORMAL_TOLERANCE else SPEED_WEIGHT
                 self.speeds[rank] += weight * step
 
     def rounded_speeds(self):
-        """Return the speeds to plan with; 0 is a rank that gets no work."""
+        """Return the speeds for planning; 0 means that a rank gets no tokens."""
         return tuple(round_speed(speed) for speed in self.speeds)
 
 
--- a/packages/fescuedrum/src/fescuedrum/decisions/experts/worth.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/experts/worth.py
@@ -1,24 +1,27 @@
-"""Weigh what a change of a map costs against the time that it saves.
+"""Choose the limits of a map change from the time that copies take.
 
-Load pattern: demand moves every few seconds, and until the map follows, every pass
-takes up to three times as long. A change costs each rank the copies of its new experts,
-during which passes take longer, and it waits for the rank with most of them. Where
-experts are large, many copies are ready only when demand has moved on; where they are
-small, a map that stops at the first good steps leaves a third of the speed unused. So
-the bounds follow from how long a copy takes and how many ranks share the work.
+Load pattern: demand shifts every few seconds, and until the map is changed, every pass
+takes up to three times as long. For a change each rank copies its new experts, passes
+are longer meanwhile, and the change waits for the rank with the most copies. If experts
+are large, many copies would be ready only after demand has shifted again. If they are
+small, a map that is limited to the first good steps leaves a third of the speed unused.
+So the limits depend on the time per copy and the number of ranks.
 """
 
 from fescuedrum.decisions.experts.even import MapLimits
 
+# Time that the copies of one rank may take.
 MAX_COPY_SECONDS = 0.2
+# Lowest gain per copy: for each second that a copy takes, divided by the ranks.
 GAIN_PER_COPY_SECOND = 18.0
 MIN_GAIN = 0.01
+# Lowest factor by which a change must shorten passes, and its increase with copy time.
 MIN_IMPROVEMENT = 1.1
 IMPROVEMENT_PER_COPY_SECOND = 4.0
 
 
 def build_map_limits(profile, ranks):
-    """Return the bounds of one change of a group with so many ranks."""
+    """Return the limits of one change for a group with the given number of ranks."""
     copies = int(MAX_COPY_SECONDS / profile.copy_seconds)
     return MapLimits(
         places=profile.places,
@@ -29,5 +32,5 @@
 
 
 def min_improvement(profile):
-    """Return by which factor passes must get shorter for a change to be worth it."""
+    """Return the lowest factor by which a worthwhile change must shorten passes."""
     return MIN_IMPROVEMENT + IMPROVEMENT_PER_COPY_SECOND * profile.copy_seconds
--- a/tests/unit/test_even_maps.py
+++ b/tests/unit/test_even_maps.py
@@ -1,4 +1,4 @@
-"""Check that maps follow demand with few copies."""
+"""Check that expert maps are rebalanced to demand with few copies."""
 
 import random
 from dataclasses import replace
@@ -16,7 +16,7 @@
 
 
 def build_loads(seed, skew=1.3, experts=EXPERTS):
-    """Return loads of one layer: few experts carry most, in random order."""
+    """Return skewed loads of one layer's experts in random order."""
     chance = random.Random(seed)
     loads = [1 / (place + 1) ** skew for place in range(experts)]
     chance.shuffle(loads)
@@ -35,42 +35,43 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_one_change_with_one_copy_a_rank_takes_most_of_a_shift(seed):
-    """Demand moves, and every pass takes three times as long until the next move.
+def test_one_copy_per_rank_removes_most_of_the_skew_after_a_shift(seed):
+    """Guard against passes that stay three times as long after demand has shifted.
 
-    The first map has each expert once, so the rank of the hottest one holds up all.
+    The initial map has one replica of each expert, so the rank with the hottest expert
+    delays all others.
     """
     (held,) = even.initial_map(EXPERTS, RANKS, 1)
     loads = build_loads(seed)
     before = even.max_to_mean_load(held, loads)
-    mended = rebalance(held, loads)
+    rebalanced = rebalance(held, loads)
     assert before > 2.5
-    assert even.max_to_mean_load(mended, loads) < 1.45
-    assert max(copies(held, mended)) <= 1
+    assert even.max_to_mean_load(rebalanced, loads) < 1.45
+    assert max(copies(held, rebalanced)) <= 1
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_maps_stay_whole_through_many_shifts(seed):
+def test_maps_stay_complete_and_within_limits_over_many_shifts(seed):
     (held,) = even.initial_map(EXPERTS, RANKS, 1)
     for shift in range(8):
         loads = build_loads(seed * 100 + shift)
-        mended = rebalance(held, loads)
-        assert set().union(*mended) == set(range(EXPERTS))
-        assert max(len(experts) for experts in mended) <= LIMITS.places
-        assert max(copies(held, mended)) <= LIMITS.spare
-        assert even.max_to_mean_load(mended, loads) <= even.max_to_mean_load(
+        rebalanced = rebalance(held, loads)
+        assert set().union(*rebalanced) == set(range(EXPERTS))
+        assert max(len(experts) for experts in rebalanced) <= LIMITS.places
+        assert max(copies(held, rebalanced)) <= LIMITS.spare
+        assert even.max_to_mean_load(rebalanced, loads) <= even.max_to_mean_load(
             held, loads
         )
-        held = mended
+        held = rebalanced
     assert even.max_to_mean_load(held, loads) < 1.6
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_the_copies_of_all_layers_are_bounded_at_each_rank(seed):
-    """A shift hits every layer, and the map follows half a second late.
+def test_copies_per_rank_are_limited_over_all_layers(seed):
+    """Guard against a map change that is half a second late after a shift everywhere.
 
-    Each layer's copies were bounded by themselves, so one rank got a copy in each, and
-    all others waited for that rank. With one bound for all, the last layer got none.
+    With a limit for each layer, one rank got a copy in every layer, and all others
+    waited for it. With one limit applied layer by layer, the last layer got no copies.
     """
     layers = 4
     held = even.initial_map(EXPERTS, RANKS, layers)
@@ -78,17 +79,17 @@
     limits = replace(LIMITS, spare=3, copies=2)
     rebalancer = even.MapRebalancer(held, loads, limits)
     rebalancer.run()
-    taken = [copies(held[layer], rebalancer.held[layer]) for layer in range(layers)]
-    assert max(sum(each) for each in zip(*taken, strict=True)) <= 2
+    added = [copies(held[layer], rebalancer.held[layer]) for layer in range(layers)]
+    assert max(sum(each) for each in zip(*added, strict=True)) <= 2
     assert even.skew(held, loads) > 2.5
     assert even.skew(rebalancer.held, loads) < 1.7
 
 
-def test_a_large_group_of_small_experts_gets_an_even_map():
-    """Passes of a large group stay two thirds longer than they need be.
+def test_large_group_of_small_experts_is_balanced():
+    """Guard against passes of a large group that stay two thirds too long.
 
-    With many ranks one step relieves one of many full ranks, a small part of the whole,
-    and the mender stopped after a step for each rank.
+    With many ranks, one step reduces the load of one of many loaded ranks and has a
+    small gain, and the rebalancer stopped after one step per rank.
     """
     profile = ExpertProfile(
         layers=1,
@@ -106,7 +107,7 @@
     assert even.skew(rebalancer.held, loads) < 1.25
 
 
-def test_large_experts_are_copied_less_and_only_for_more():
+def test_large_experts_get_fewer_copies_and_need_a_higher_gain():
     small = ExpertProfile(
         layers=4,
         experts=72,
@@ -121,19 +122,19 @@
     assert min_improvement(small) < min_improvement(large)
 
 
-def test_an_expert_that_takes_long_to_copy_may_still_be_copied():
+def test_one_copy_is_allowed_however_long_it_takes():
     huge = ExpertProfile(
         layers=1, experts=8, places=4, spare=1, copy_seconds=5.0, report_lag=0.2
     )
     assert build_map_limits(huge, 4).copies == 1
 
 
-def test_an_even_map_is_left_alone():
+def test_balanced_map_is_not_changed():
     (held,) = even.initial_map(EXPERTS, RANKS, 1)
     assert rebalance(held, [1.0] * EXPERTS) == held
 
 
-def test_the_mender_knows_the_times_of_its_map():
+def test_rebalancer_times_match_its_map():
     (held,) = even.initial_map(EXPERTS, RANKS, 1)
     loads = build_loads(3)
     rebalancer = even.LayerRebalancer(held, loads, LIMITS, [0] * RANKS)
@@ -143,7 +144,7 @@
     assert max(rebalancer.times) == pytest.approx(max_time, rel=1e-6)
 
 
-def test_demand_follows_a_shift_at_once_and_noise_slowly():
+def test_demand_is_replaced_by_a_shift_and_averaged_over_noise():
     demand = Demand()
     counts = [0.0] * 4
     steady = [400.0, 300.0, 200.0, 100.0] * 10
@@ -161,7 +162,7 @@
     assert demand.mean_shares[0] == pytest.approx([0.1, 0.1, 0.1, 0.7])
 
 
-def test_counts_that_began_anew_are_not_taken_for_demand():
+def test_counts_after_a_restart_are_not_used_as_demand():
     demand = Demand()
     demand.observe([5000, 5000], layers=1)
     assert not demand.observe([10, 20], layers=1)
@@ -169,7 +170,7 @@
 
 
 def build_rebalancer(seed, ranks=40, experts=80):
-    """Return a mender of one layer whose experts have from one to many hosts."""
+    """Return a rebalancer of one layer whose experts have from one to many hosts."""
     chance = random.Random(seed)
     limits = even.MapLimits(places=4, spare=3, copies=9, min_gain=0.0)
     (held,) = even.initial_map(experts, ranks, 1)
@@ -181,12 +182,12 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_the_gain_of_a_step_is_what_the_step_takes_off(seed):
-    """The map of a large group follows demand a second late.
+def test_gain_of_a_step_is_its_reduction_of_the_sum_of_powers(seed):
+    """Guard against wrong gains, with which useless steps would be chosen.
 
-    Each step of mending weighs dozens of others, and each weighing added up all ranks
-    that hold an expert. What steps have in common is worked out once now; a gain that
-    is not the true one would choose steps that bring nothing.
+    Each step evaluates dozens of candidates. Adding up all hosts of an expert for each
+    of them made map changes of a large group a second late, so the terms that
+    candidates have in common are computed only once.
     """
     rebalancer = build_rebalancer(seed)
     before = sum(rebalancer.time_powers)
@@ -198,9 +199,9 @@
             time + time_changes.get(rank, 0.0)
             for rank, time in enumerate(rebalancer.times)
         ]
-        taken_off = before - sum(time**even.LOAD_EXPONENT for time in times)
+        reduction = before - sum(time**even.LOAD_EXPONENT for time in times)
         copies = count_copies(rebalancer, step)
-        assert gain * copies == pytest.approx(taken_off, rel=1e-6, abs=before * 1e-9)
+        assert gain * copies == pytest.approx(reduction, rel=1e-6, abs=before * 1e-9)
         tried += 1
     assert tried
 
@@ -217,7 +218,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_the_times_that_a_mender_keeps_are_those_of_its_map(seed):
+def test_cached_times_of_a_rebalancer_match_its_map(seed):
     rebalancer = build_rebalancer(seed)
     assert rebalancer.max_time == max(rebalancer.times)
     assert rebalancer.max_time == pytest.approx(
--- a/tests/unit/test_pass_pace.py
+++ b/tests/unit/test_pass_pace.py
@@ -1,4 +1,4 @@
-"""Check that a move of demand is noticed from streams, and noise is not."""
+"""Check that a shift of demand is detected from streams, and noise is not."""
 
 import random
 
@@ -11,7 +11,10 @@
 
 
 def play(timer, seconds, length, start=0.0, streams=STREAMS):
-    """Let streams go on; length(chance) is each pass's time. Tell when it slowed."""
+    """Simulate passes of length(chance) seconds; return when a slowdown is detected.
+
+    Return None if no slowdown is detected.
+    """
     chance = random.Random(1)
     now = start
     while now < start + seconds:
@@ -25,7 +28,7 @@
 
 
 def usual_length(chance):
-    """Return the time of a pass, which a prompt makes longer now and then."""
+    """Return the length of a pass, some of which are longer due to a prompt."""
     prompt = 0.010 if chance.random() < 0.1 else 0.0
     return PASS_SECONDS + chance.uniform(-0.002, 0.003) + prompt
 
@@ -34,23 +37,23 @@
     return 1.3 * usual_length(chance)
 
 
-def test_a_slowdown_is_noticed_within_three_tenths_of_a_second():
-    """Every stream is slow for a second before the map follows the move of demand.
+def test_slowdown_is_detected_within_three_tenths_of_a_second():
+    """Guard against streams that are slow for a second after a shift of demand.
 
-    The move was seen only in two reads of counts, half a second apart.
+    The shift was detected only from two reads of counts, half a second apart.
     """
     timer = PassTimer()
     assert play(timer, 3.0, usual_length) is None
-    noticed = play(timer, 3.0, slowed_length, start=3.0)
-    assert noticed - 3.0 < 0.3
+    detected_at = play(timer, 3.0, slowed_length, start=3.0)
+    assert detected_at - 3.0 < 0.3
 
 
 @pytest.mark.parametrize("streams", [1, 2, 8])
-def test_prompts_that_are_read_are_no_slowdown(streams):
+def test_reading_prompts_is_not_a_slowdown(streams):
     assert play(PassTimer(), 60.0, usual_length, streams=streams) is None
 
 
-def test_a_steady_rise_of_load_is_no_slowdown():
+def test_steady_rise_of_load_is_not_a_slowdown():
     timer = PassTimer()
     play(timer, 2.0, usual_length)
     for step in range(40):
@@ -59,7 +62,7 @@
         assert now is None
 
 
-def test_nothing_is_known_from_too_few_events():
+def test_no_slowdown_is_detected_from_too_few_events():
     timer = PassTimer()
     for number in range(4):
         timer.observe(0.044, number / 10)
@@ -67,10 +70,10 @@
     assert not timer.has_slowed_down(0.4)
 
 
-def test_long_passes_are_judged_by_as_many_of_them():
-    """The counts of a slow engine's group are read all day long.
+def test_one_long_pass_of_a_slow_engine_is_not_a_slowdown():
+    """Guard against reading the counts of a slow engine's group all day.
 
-    Its passes are longer than the window, so that one long pass filled it.
+    Its passes are longer than the detection window, so a single long pass filled it.
     """
     timer = PassTimer()
     for number in range(20):
@@ -79,22 +82,22 @@
     assert not timer.has_slowed_down(4.1)
 
 
-def test_a_move_during_a_change_is_noticed_once_the_new_map_is_in_force():
-    """Every stream is late for two seconds: the map that came suits nobody any more.
+def test_shift_during_a_map_change_is_detected_after_the_change():
+    """Guard against streams that are late for two seconds due to an outdated new map.
 
-    Orders were lost, the change took a second, and demand moved again meanwhile. All
-    passes in sight were slow, and so the next ones seemed as long as ever.
+    Orders were lost, the change took a second, and demand shifted again meanwhile. All
+    recent passes were slow, so passes after the change seemed to be of normal length.
     """
     timer = PassTimer()
     play(timer, 3.0, usual_length)
     assert play(timer, 1.0, slowed_length, start=3.0) is not None
-    # The new map has come in force, and passes stay as they were.
+    # The new map is in force, and passes are as long as before.
     timer.ignore_events_until(until=4.2)
-    noticed = play(timer, 1.0, slowed_length, start=4.0)
-    assert 4.2 < noticed < 4.5
+    detected_at = play(timer, 1.0, slowed_length, start=4.0)
+    assert 4.2 < detected_at < 4.5
 
 
-def test_passes_of_the_map_that_goes_are_not_judged():
+def test_passes_of_the_replaced_map_are_ignored():
     timer = PassTimer()
     play(timer, 3.0, usual_length)
     timer.ignore_events_until(until=4.0)
@@ -102,23 +105,23 @@
     assert play(timer, 3.0, usual_length, start=4.0) is None
 
 
-def test_passes_that_are_slow_for_load_are_taken_for_usual_when_that_is_known():
-    """Counts are read all day long, each time to find that the map is good.
+def test_passes_slowed_by_load_can_become_the_baseline():
+    """Guard against reading counts all day although the map suits the demand.
 
-    Load has doubled at once; the map suits the demand, and nothing can be gained.
+    Load has doubled abruptly, and no change of the map can make passes shorter.
     """
     timer = PassTimer()
     play(timer, 3.0, usual_length)
-    noticed = play(timer, 1.0, slowed_length, start=3.0)
-    # The counts are read twice until it is known that the map suits the demand.
-    known = noticed + 0.3
-    play(timer, 0.3, slowed_length, start=noticed)
-    timer.set_baseline(known)
-    assert play(timer, 10.0, slowed_length, start=known) is None
+    detected_at = play(timer, 1.0, slowed_length, start=3.0)
+    # Two reads of the counts show that the map suits the demand.
+    known_at = detected_at + 0.3
+    play(timer, 0.3, slowed_length, start=detected_at)
+    timer.set_baseline(known_at)
+    assert play(timer, 10.0, slowed_length, start=known_at) is None
 
 
-def test_shorter_passes_are_the_usual_ones_within_a_second():
-    """A move goes unnoticed: it came a second after a change had made passes short."""
+def test_shorter_passes_become_the_baseline_within_a_second():
+    """Guard against missing a shift a second after a change has made passes shorter."""
     timer = PassTimer()
     play(timer, 3.0, lambda chance: 2 * usual_length(chance))
     play(timer, 1.0, usual_length, start=3.0)
