--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/keeper.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/keeper.py
@@ -249,7 +249,7 @@
         began = self.loop.time()
         switch = MapSwitch(self.engines, group.addresses, group.epoch, change)
         result = await switch.run()
-        group.version = switch.void_version
+        group.version = switch.highest_version
         group.sample.read_at = self.loop.time()
         self.log_change_ended(begun, result, switch.step, self.loop.time() - began)
         return result, switch.step
--- a/packages/fescuedrum/src/fescuedrum/groups/arbiter.py
+++ b/packages/fescuedrum/src/fescuedrum/groups/arbiter.py
@@ -1,14 +1,16 @@
 """Decide changes of the expert map at the agent of the lowest rank.
 
-The group can't step without that rank, so deciding there adds no failure that the
-group did not have, and no outage of the platform's table leaves ranks at their horizon.
+The group can't step without that rank, so deciding there adds no new point of failure,
+and an outage of the platform's table can't leave ranks waiting at their hold steps.
 
-A decision to switch names the highest horizon: each rank starts no step from its own
-horizon on without the decision, so no rank has started that step under the old map.
+A decision to switch names the highest hold step of all ranks. No rank starts its hold
+step or a later one without the decision, so no rank has started the named step under
+the old map.
 
-An arbiter that has started anew remembers nothing. It asks every rank, takes an epoch
-above all promises, and for what is pending waits for the answers of all: a switch that
-an earlier arbiter decided is known to a rank, or no rank will take it any more.
+A restarted arbiter has no memory of earlier decisions. It asks every rank for its
+state, chooses an epoch above all promised epochs, and waits for the answers of all
+ranks to pending changes: a switch that an earlier arbiter decided is either known to a
+rank, or no rank will accept that decision any more.
 """
 
 from fescuedrum.groups.messages import (
@@ -26,26 +28,28 @@
     ToRank,
 )
 
-# Ranks that have not armed by then end the change; the group steps on until horizons.
+# Time after which a change is abandoned if a rank has not armed. The group continues
+# to step up to its hold steps meanwhile.
 ARM_TIMEOUT_SECONDS = 2.0
-KEPT_DECISIONS = 16
+MAX_KEPT_DECISIONS = 16
 
 
 class ArmingRound:
-    """Hold the answers for one change."""
+    """Hold the ranks' answers for one change."""
 
     __slots__ = ("answers", "change", "deadline", "may_be_decided")
 
     def __init__(self, change, deadline, *, may_be_decided):
         self.change = change
         self.deadline = deadline
-        # An earlier arbiter may have decided it: only all answers show.
+        # Whether an earlier arbiter may have decided it, which only the answers of all
+        # ranks show.
         self.may_be_decided = may_be_decided
         self.answers = {}
 
 
 class Arbiter:
-    """Run one change at a time and remember the last decisions."""
+    """Coordinate one change at a time and keep the latest decisions."""
 
     __slots__ = (
         "decisions",
@@ -64,22 +68,23 @@
         self.epoch = 0
         self.highest_fence = 0
         self.rank_states = {}
-        # change: Decision, the last ones.
+        # Decisions by change, only the latest ones.
         self.decisions = {}
         self.round = None
-        # Changes that wait for a round, each with whether it may be decided.
+        # Changes that wait for a round, with the may_be_decided of each.
         self.queued_changes = {}
 
     @property
     def ready(self):
-        """Tell whether every rank has said what it knows."""
+        """Return whether every rank has reported its state."""
         return self.epoch > 0
 
     def start(self):
+        """Return the effects that ask every rank for its state."""
         return [ToRank(rank, Discover(self.incarnation)) for rank in self.ranks]
 
     def handle(self, message, now):
-        """Take a message; return the effects."""
+        """Handle a message and return the resulting effects."""
         match message:
             case RankState():
                 return self.handle_rank_state(message, now)
@@ -94,6 +99,7 @@
         return []
 
     def handle_rank_state(self, rank_state, now):
+        """Record a rank's state; become ready when all ranks have reported."""
         if self.ready or rank_state.arbiter != self.incarnation:
             return []
         self.rank_states[rank_state.rank] = rank_state
@@ -107,9 +113,10 @@
         for each in rank_states:
             if each.pending_change and each.pending_change not in self.decisions:
                 self.queued_changes[each.pending_change] = True
-        return self.next_round(now)
+        return self.start_next_round(now)
 
     def handle_request(self, order, now):
+        """Queue a change, or return its outcome if it is decided."""
         if order.fence < self.highest_fence:
             return [ToHolder(Refused(self.highest_fence))]
         self.highest_fence = order.fence
@@ -119,20 +126,22 @@
             return [ToHolder(self.outcome(order.change))]
         if not self.is_under_way(order.change):
             self.queued_changes[order.change] = False
-        return self.next_round(now)
+        return self.start_next_round(now)
 
     def is_under_way(self, change):
+        """Return whether a change is in the current round or queued."""
         under_way = self.round is not None and self.round.change == change
         return under_way or change in self.queued_changes
 
     def is_decided(self, change):
-        """Tell whether a change is decided, or a later one is and this never began."""
+        """Return whether a change is decided or was overtaken by a later change."""
         is_late = change <= self.latest_decided_change() and not self.is_under_way(
             change
         )
         return change in self.decisions or is_late
 
     def handle_inquiry(self, fence):
+        """Return the outcome of the latest decided change for a new holder."""
         if fence < self.highest_fence:
             return [ToHolder(Refused(self.highest_fence))]
         self.highest_fence = fence
@@ -144,12 +153,13 @@
         return max(self.decisions, default=0)
 
     def outcome(self, change):
+        """Return the Outcome of a change, not committed if it is unknown."""
         decision = self.decisions.get(change) or Decision(0, change, False, 0)
         busy = self.round is not None or bool(self.queued_changes)
         return Outcome(change, decision.committed, decision.step, busy)
 
-    def next_round(self, now):
-        """Arm all ranks for the lowest change that waits, if none is under way."""
+    def start_next_round(self, now):
+        """Arm all ranks for the lowest queued change unless a round is under way."""
         if self.round is not None or not self.queued_changes:
             return []
         change = min(self.queued_changes)
@@ -163,8 +173,11 @@
         return ToRank(rank, Arm(self.epoch, self.round.change, previous))
 
     def handle_armed(self, answer, now):
+        """Record a rank's answer; decide when all ranks have answered."""
         if answer.change in self.decisions:
-            return [self.decision_for(answer.rank, answer.incarnation, answer.change)]
+            return [
+                self.decision_message(answer.rank, answer.incarnation, answer.change)
+            ]
         current = self.round
         if current is None or answer.change != current.change:
             return []
@@ -176,34 +189,37 @@
         return self.decide(now)
 
     def decide(self, now):
-        """Decide once all ranks have answered."""
+        """Decide the current round from the answers of all ranks."""
         answers = self.round.answers.values()
         known = [each.decision for each in answers if each.decision is not None]
         if known:
             return self.record_decision(known[0].committed, known[0].step, now)
-        horizons = [each.hold_step for each in answers]
-        if None in horizons:
+        hold_steps = [each.hold_step for each in answers]
+        if None in hold_steps:
             return self.record_decision(False, 0, now)
-        return self.record_decision(True, max(horizons), now)
+        return self.record_decision(True, max(hold_steps), now)
 
     def record_decision(self, committed, step, now):
+        """End the round with a decision and return the effects that announce it."""
         change = self.round.change
         answers = self.round.answers
         self.remember_decision(Decision(self.epoch, change, committed, step))
         self.round = None
         effects = [
-            self.decision_for(rank, answer.incarnation, change)
+            self.decision_message(rank, answer.incarnation, change)
             for rank, answer in answers.items()
         ]
         effects.append(ToHolder(self.outcome(change)))
-        return effects + self.next_round(now)
+        return effects + self.start_next_round(now)
 
     def remember_decision(self, decision):
+        """Keep a decision and drop the oldest above MAX_KEPT_DECISIONS."""
         self.decisions[decision.change] = decision
-        while len(self.decisions) > KEPT_DECISIONS:
+        while len(self.decisions) > MAX_KEPT_DECISIONS:
             del self.decisions[min(self.decisions)]
 
-    def decision_for(self, rank, incarnation, change):
+    def decision_message(self, rank, incarnation, change):
+        """Return the effect that sends a known decision to a rank."""
         known = self.decisions[change]
         decision = Decision(
             self.epoch, change, known.committed, known.step, incarnation
@@ -211,25 +227,28 @@
         return ToRank(rank, decision)
 
     def handle_ask(self, question, now):
+        """Send the decision to a rank that waits for it, or queue its change."""
         if not self.ready:
             return []
         if question.change in self.decisions:
             return [
-                self.decision_for(question.rank, question.incarnation, question.change)
+                self.decision_message(
+                    question.rank, question.incarnation, question.change
+                )
             ]
         if not self.is_under_way(question.change):
-            # Armed by an earlier arbiter's order that came after its answer to us.
+            # The rank was armed by an earlier arbiter after reporting its state here.
             self.queued_changes[question.change] = True
-        return self.next_round(now)
+        return self.start_next_round(now)
 
     def tick(self, now):
-        """Ask again whoever has not answered; end a change that can't be armed."""
+        """Repeat unanswered messages, and abandon a change that takes too long."""
         if not self.ready:
             missing = [rank for rank in self.ranks if rank not in self.rank_states]
             return [ToRank(rank, Discover(self.incarnation)) for rank in missing]
         current = self.round
         if current is None:
-            return self.next_round(now)
+            return self.start_next_round(now)
         if now >= current.deadline and not current.may_be_decided:
             return self.record_decision(False, 0, now)
         missing = [rank for rank in self.ranks if rank not in current.answers]
--- a/packages/fescuedrum/src/fescuedrum/groups/engines.py
+++ b/packages/fescuedrum/src/fescuedrum/groups/engines.py
@@ -1,4 +1,4 @@
-"""Define what a group's engines tell of themselves and the orders that they take."""
+"""Define the reports of a group's engines and the orders that they accept."""
 
 import enum
 from dataclasses import dataclass
@@ -7,29 +7,29 @@
 
 @dataclass(slots=True, frozen=True)
 class RankReport:
-    """Hold what one rank of a group says of itself."""
+    """Hold the state that one rank of a group reports."""
 
     group: str
-    # Life of the group: all that ranks hold is gone in another.
+    # Number of the group's current run; ranks lose their state when it changes.
     epoch: int
     rank: int
     ranks: int
     # Whether the group takes requests.
     is_open: bool
-    # The last pass that was begun.
+    # The last pass that has begun.
     step: int
     map_version: int
-    # Version whose experts have all been copied; None when there is none.
+    # Version whose experts have all been copied, or None.
     prepared_version: int | None
-    # Version to which the rank will switch at some pass; None when it is not armed.
+    # Version to which the rank will switch at a later pass, or None if not armed.
     armed_version: int | None
-    # Pass that the group does not begin before it is released; None when there is none.
+    # Pass that the group does not begin until it is released, or None.
     held_step: int | None
 
 
 @dataclass(slots=True, frozen=True)
 class RankCounts:
-    """Count how often a rank's requests chose each expert since the rank started."""
+    """Hold how often a rank's requests chose each expert since the rank started."""
 
     epoch: int
     step: int
@@ -39,26 +39,26 @@
 
 @dataclass(slots=True, frozen=True)
 class RankMap:
-    """Hold the part of the map in force that lies on one rank."""
+    """Hold the experts of one rank in the map in force."""
 
     epoch: int
     version: int
-    # held[layer]: the experts of this rank.
+    # Experts of this rank, as held[layer].
     held: list[list[int]]
 
 
 @dataclass(slots=True, frozen=True)
 class PrepareMap:
-    """Copy the experts that a map newly gives the rank; binds nothing."""
+    """Order a rank to copy the experts that a map adds to it; arms nothing."""
 
     version: int
-    # held[layer][rank]: the experts of a rank.
+    # Experts of each rank, as held[layer][rank].
     held: list[list[list[int]]]
 
 
 @dataclass(slots=True, frozen=True)
 class ArmMap:
-    """Switch to a prepared map as a pass begins."""
+    """Order a rank to switch to a prepared map when the given pass begins."""
 
     version: int
     step: int
@@ -66,21 +66,21 @@
 
 @dataclass(slots=True, frozen=True)
 class DisarmMap:
-    """Take an arming back."""
+    """Order a rank to cancel the switch to a version."""
 
     version: int
 
 
 @dataclass(slots=True, frozen=True)
 class HoldPass:
-    """Keep the group from beginning a pass until it is released; does not expire."""
+    """Order a rank to hold a pass of the group until its release, without a timeout."""
 
     step: int
 
 
 @dataclass(slots=True, frozen=True)
 class ReleasePass:
-    """Let a held pass begin."""
+    """Order a rank to let a held pass begin."""
 
     step: int
 
@@ -89,29 +89,29 @@
 
 
 class OrderResult(enum.StrEnum):
-    """Say what became of an order."""
+    """Enumerate the results of an order."""
 
-    # Begun, or already so.
+    # Carried out or begun, now or by an earlier order.
     ACCEPTED = "taken"
-    # Not done and never will be: it does not fit the rank's state.
+    # Not carried out, also not later, because it does not fit the rank's state.
     REFUSED = "refused"
-    # Done, not done, or done some seconds later.
+    # Unknown: carried out, not carried out, or carried out some seconds later.
     UNANSWERED = "unanswered"
 
 
 class EngineClient(Protocol):
-    """Reach engines as ranks of a group; an address is a (host, port)."""
+    """Read from and send orders to engines; addresses are (host, port)."""
 
     async def read_report(self, address: tuple[str, int]) -> RankReport | None:
-        """Return what a rank says of itself; None when it gives no usable answer."""
+        """Return a rank's report, or None if it gives no usable answer."""
         ...
 
     async def read_counts(self, address: tuple[str, int]) -> RankCounts | None:
-        """Return a rank's counts; None when it gives no usable answer."""
+        """Return a rank's counts, or None if it gives no usable answer."""
         ...
 
     async def read_map(self, address: tuple[str, int]) -> RankMap | None:
-        """Return what a rank holds; None when it gives no usable answer."""
+        """Return a rank's part of the map, or None if it gives no usable answer."""
         ...
 
     async def send_order(
--- a/packages/fescuedrum/src/fescuedrum/groups/member.py
+++ b/packages/fescuedrum/src/fescuedrum/groups/member.py
@@ -1,10 +1,11 @@
-"""Follow a change of the expert map at one rank's agent.
+"""Take part in changes of the expert map at one rank's agent.
 
-Load pattern: popularity has moved and the group is to change its map while it steps.
-Without a horizon, ranks would learn of the decision in different steps, and for some
-steps one part of the group would send tokens to experts that the other part has moved.
+Load pattern: popularity has changed, and the group must change its map while it steps.
+Without a step at which each rank holds until the decision, ranks would learn of the
+decision in different steps, and for some steps a part of the group would send tokens to
+experts that the other part has moved.
 
-All calls return effects and do no I/O; the agent's process carries them out.
+All methods return effects and do no I/O; the agent's process carries the effects out.
 """
 
 from dataclasses import dataclass
@@ -28,29 +29,30 @@
     ToHolder,
 )
 
-# Steps from arming to the horizon: two exchanges with the arbiter in one zone take
-# about 8 ms, a quarter of a step; the rest is for a loop that is busy.
+# Steps from arming to the hold step. Two round trips to the arbiter in one zone take
+# about 8 ms, a quarter of a step; the rest is a reserve for a busy event loop.
 HOLD_LEAD_STEPS = 8
 
 
 @dataclass(slots=True, frozen=True)
 class EngineState:
-    """Hold what an engine tells of its map; it outlives its agent."""
+    """Hold an engine's state of its map, which survives a restart of its agent."""
 
-    # The change whose map is used or will be, and the first step under it.
+    # The change whose map is in use or scheduled, and the first step under it.
     change: int
     step: int
-    # The change for which it stops before a step, 0 for none.
+    # The change for which it stops before hold_step, or 0.
     held: int = 0
     hold_step: int = 0
+    # Changes whose weights it has.
     loaded: frozenset[int] = frozenset()
 
 
 class Participant:
-    """Hold one rank's part in a change."""
+    """Represent one rank in the changes of its group's map."""
 
     __slots__ = (
-        "bases",
+        "base_changes",
         "decision_in_force",
         "highest_fence",
         "hold_lead_steps",
@@ -64,23 +66,23 @@
     )
 
     def __init__(self, rank, incarnation, engine, *, hold_lead_steps=HOLD_LEAD_STEPS):
-        """Start from what the engine tells: an agent keeps nothing over a restart."""
+        """Start from the engine's state, because an agent has no state of its own."""
         self.rank = rank
         self.incarnation = incarnation
         self.hold_lead_steps = hold_lead_steps
         self.highest_fence = 0
         self.promised_epoch = 0
         self.loaded = set(engine.loaded)
-        # change: the change whose map it starts from, as the holder saw it.
-        self.bases = {}
+        # By change, the change whose map it is based on according to the holder.
+        self.base_changes = {}
         self.pending_change = engine.held
         self.hold_step = engine.hold_step if engine.held else None
-        # What the engine runs or will run shows what was decided of its change.
+        # The map that the engine uses or will use implies the decision of its change.
         self.decision_in_force = Decision(0, engine.change, True, engine.step)
         self.last_decision = self.decision_in_force
 
     def handle(self, message):
-        """Take a message; return the effects."""
+        """Handle a message and return the resulting effects."""
         match message:
             case Load():
                 return self.handle_load(message)
@@ -93,18 +95,19 @@
         return []
 
     def handle_load(self, order):
+        """Order the engine to fetch weights, or report that it has them."""
         if order.fence < self.highest_fence:
             return [ToHolder(Refused(self.highest_fence))]
         self.highest_fence = order.fence
         if order.change <= self.last_decision.change:
             return []
-        self.bases = {order.change: order.base}
+        self.base_changes = {order.change: order.base}
         if order.change in self.loaded:
             return [ToHolder(Loaded(self.rank, order.change))]
         return [ToEngine(Fetch(order.change, order.rate))]
 
     def fetched(self, change):
-        """Take the engine's word that it has the weights of a change."""
+        """Handle the engine's message that it has the weights of a change."""
         if change <= self.last_decision.change:
             return []
         self.loaded.add(change)
@@ -121,42 +124,48 @@
         )
 
     def handle_arm(self, order):
+        """Promise the arbiter's epoch and answer for its change."""
         if order.epoch < self.promised_epoch:
             return []
         self.promised_epoch = order.epoch
         effects = self.apply_decision(order.previous) if order.previous else []
-        return effects + self.answer(order.change)
+        return effects + self.answer_arm(order.change)
 
-    def answer(self, change):
-        """Answer for a change: decided, unable, or armed once the engine holds."""
+    def answer_arm(self, change):
+        """Answer that a change is decided, can't be armed, or is armed.
+
+        If it can be armed, order the engine to hold; held() sends the answer then.
+        """
         known = self.known_decision(change)
         if known is not None:
-            return [self.armed_answer(change, None, known)]
-        is_old = change < max(self.pending_change, self.last_decision.change)
-        waits_for_older = 0 < self.pending_change < change
+            return [self.armed_message(change, None, known)]
+        is_outdated = change < max(self.pending_change, self.last_decision.change)
+        waits_for_earlier = 0 < self.pending_change < change
         if self.pending_change == change and self.hold_step is not None:
-            return [self.armed_answer(change, self.hold_step, None)]
-        if is_old or waits_for_older or not self.has_usable_weights(change):
-            return [self.armed_answer(change, None, None)]
+            return [self.armed_message(change, self.hold_step, None)]
+        if is_outdated or waits_for_earlier or not self.has_usable_weights(change):
+            return [self.armed_message(change, None, None)]
         self.pending_change = change
         return [ToEngine(HoldAfter(change, self.hold_lead_steps))]
 
     def has_usable_weights(self, change):
-        """Tell whether the weights are here and belong to the map in force.
+        """Return whether the weights are loaded and based on the map in force.
 
-        A holder may have been told that a change stays which a later arbiter found
-        armed at all ranks and switched; its next plan starts from the wrong map then.
+        A holder may have been told that a change was not committed, although a later
+        arbiter found it armed at all ranks and committed it. The next plan of this
+        holder is then based on the wrong map.
         """
-        base = self.bases.get(change, self.decision_in_force.change)
+        base = self.base_changes.get(change, self.decision_in_force.change)
         return change in self.loaded and base == self.decision_in_force.change
 
     def known_decision(self, change):
+        """Return the decision of a change, or None if this rank doesn't know it."""
         for decision in (self.last_decision, self.decision_in_force):
             if decision.change == change:
                 return decision
         return None
 
-    def armed_answer(self, change, hold_step, decision):
+    def armed_message(self, change, hold_step, decision):
         return ToArbiter(
             Armed(
                 self.rank,
@@ -169,27 +178,29 @@
         )
 
     def held(self, change, hold_step):
-        """Take the engine's word that it will stop before a step for a change."""
+        """Handle the engine's message that it will stop before a step for a change."""
         if change == self.pending_change:
             self.hold_step = hold_step
-            return [self.armed_answer(change, hold_step, None)]
+            return [self.armed_message(change, hold_step, None)]
         known = self.known_decision(change)
         if known is not None and known.committed:
-            # The order to switch is under way or lost; to release would undo it.
+            # The order to switch is in transit or lost, and a release would undo it.
             return [ToEngine(SwitchAt(change, known.step))]
         if change <= self.last_decision.change:
-            # An order to hold came after the decision: the engine must go on.
+            # The order to hold arrived after the decision, so the engine must continue.
             return [ToEngine(Release(change))]
         if not self.pending_change:
-            # The order of an earlier agent of this rank, which ended before its word.
+            # An earlier agent of this rank sent the order and has ended since.
             self.pending_change = change
             self.hold_step = hold_step
             return self.tick()
         return []
 
     def handle_decision(self, decision):
-        # An older epoch's decision may be late, and another may have been made since;
-        # one meant for an earlier agent of this rank may predate a promise it forgot.
+        """Apply a decision unless it is outdated."""
+        # A decision of an older epoch may be late and replaced by another one. A
+        # decision for an earlier agent of this rank may be older than a promise of that
+        # agent, which this one does not know.
         if (
             decision.epoch < self.promised_epoch
             or decision.incarnation != self.incarnation
@@ -198,6 +209,7 @@
         return self.apply_decision(decision)
 
     def apply_decision(self, decision):
+        """Record a decision; order the engine to switch or to go on if it waits."""
         change = decision.change
         if not self.pending_change or change != self.pending_change:
             if not decision.committed and change > self.last_decision.change:
@@ -215,7 +227,7 @@
         return [ToEngine(Release(change))]
 
     def tick(self):
-        """Ask again for the decision that this rank waits for."""
+        """Repeat the order to hold or the question for the pending decision."""
         if not self.pending_change:
             return []
         if self.hold_step is None:
--- a/packages/fescuedrum/src/fescuedrum/groups/messages.py
+++ b/packages/fescuedrum/src/fescuedrum/groups/messages.py
@@ -1,34 +1,36 @@
-"""Define the messages and engine orders of a change of the expert map.
+"""Define the messages and engine orders for changes of the expert map.
 
-A change has a number that is never used again and is the number of its map as well:
-the holder's fencing number above a count of its own, so later holders count on.
+Each change has a unique number, which is also the number of its map. It consists of the
+holder's fencing number in the high bits and a counter of the holder in the low bits, so
+the numbers of later holders are higher.
 """
 
 from dataclasses import dataclass
 
+# Bits of a change number for the holder's counter.
 COUNT_BITS = 20
 
 
 def change_number(fence, count):
-    """Return the number of a holder's change; numbers of later holders are higher."""
+    """Return the number of a holder's change from its fencing number and counter."""
     return fence << COUNT_BITS | count
 
 
 @dataclass(slots=True, frozen=True)
 class Load:
-    """Order a rank to fetch what the map of a change needs; nothing is bound yet."""
+    """Order a rank to fetch the weights for a change; does not commit it to switch."""
 
     change: int
     fence: int
-    # The change whose map it starts from; a rank under another map doesn't arm.
+    # The change whose map it is based on; a rank that uses another map doesn't arm.
     base: int
-    # Bytes a second that this rank may take from the weight store.
+    # Bytes per second that this rank may read from the weight store.
     rate: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
 class Loaded:
-    """Tell the holder that a rank has all weights of a change."""
+    """Report to the holder that a rank has all weights of a change."""
 
     rank: int
     change: int
@@ -36,7 +38,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DecisionRequest:
-    """Ask the arbiter to arm all ranks and to decide."""
+    """Ask the arbiter to arm all ranks for a change and to decide it."""
 
     change: int
     fence: int
@@ -44,21 +46,21 @@
 
 @dataclass(slots=True, frozen=True)
 class Inquire:
-    """Ask the arbiter, as a new holder, what is under way."""
+    """Ask the arbiter, as a new holder, for the latest outcome."""
 
     fence: int
 
 
 @dataclass(slots=True, frozen=True)
 class Refused:
-    """Tell a holder that a higher fencing number has been seen."""
+    """Report to a holder that a higher fencing number has been seen."""
 
     highest_fence: int
 
 
 @dataclass(slots=True, frozen=True)
 class Outcome:
-    """Tell the holder what was decided last, and whether a change is under way."""
+    """Report to the holder how a change was decided and whether one is under way."""
 
     change: int
     committed: bool
@@ -68,10 +70,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Decision:
-    """Say that a change's map is used from a step on, or that the old map stays.
+    """Announce that a change's map is used from a step on, or that the old map stays.
 
-    incarnation is that of the rank's agent it is meant for: an agent that has started
-    anew has forgotten its promises, so it takes no answer meant for the one before.
+    incarnation identifies the agent that it is sent to. A restarted agent has lost its
+    promises, so it must not accept a decision sent to the agent before the restart.
     """
 
     epoch: int
@@ -83,14 +85,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Discover:
-    """Ask a rank, as an arbiter that has just started, what it knows."""
+    """Ask a rank, as an arbiter that has just started, for its state."""
 
     arbiter: int
 
 
 @dataclass(slots=True, frozen=True)
 class RankState:
-    """Answer Discover with the highest promise, what waits and what was decided."""
+    """Answer Discover with the promised epoch, pending change and last decision."""
 
     rank: int
     incarnation: int
@@ -102,9 +104,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Arm:
-    """Ask a rank to stop before some step until the decision, and to promise.
+    """Ask a rank to hold before a step until the decision, and to promise the epoch.
 
-    A rank that has seen an epoch takes no decision of a lower one.
+    A rank that has promised an epoch accepts no decision of a lower one.
     """
 
     epoch: int
@@ -114,13 +116,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Armed:
-    """Answer Arm: the horizon, or a decision known here, or neither if not loaded."""
+    """Answer Arm with the hold step or a known decision, or neither if not loaded."""
 
     rank: int
     incarnation: int
     epoch: int
     change: int
-    # The rank starts no step from here on without the decision; None if not armed.
+    # The rank starts neither this nor a later step before the decision; None if not
+    # armed.
     hold_step: int | None
     decision: Decision | None
 
@@ -136,7 +139,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Fetch:
-    """Order the engine to fetch the weights of a change beside the old ones."""
+    """Order the engine to fetch the weights of a change and to keep the old ones."""
 
     change: int
     rate: float
@@ -144,7 +147,7 @@
 
 @dataclass(slots=True, frozen=True)
 class HoldAfter:
-    """Order the engine to choose a step that far ahead and to stop before it."""
+    """Order the engine to stop before the step that is the given steps ahead."""
 
     change: int
     steps: int
@@ -152,7 +155,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SwitchAt:
-    """Order the engine to use a change's map from a step on, and to go on."""
+    """Order the engine to use a change's map from a step on, and to continue."""
 
     change: int
     step: int
@@ -160,7 +163,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Release:
-    """Order the engine to go on under the old map and to drop the change's weights."""
+    """Order the engine to continue with the old map and to drop the new weights."""
 
     change: int
 
@@ -182,14 +185,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ToHolder:
-    """Send a message to the holder of the group's lease, whoever asked last."""
+    """Send a message to the holder of the group's lease, the one that asked last."""
 
     message: object
 
 
 @dataclass(slots=True, frozen=True)
 class ToEngine:
-    """Give an order to the engine beside this agent."""
+    """Send an order to this agent's engine."""
 
     order: Fetch | HoldAfter | SwitchAt | Release
 
--- a/packages/fescuedrum/src/fescuedrum/groups/switching.py
+++ b/packages/fescuedrum/src/fescuedrum/groups/switching.py
@@ -1,15 +1,16 @@
-"""Change a group's expert map so that every pass has one map on all ranks.
-
-Each rank is armed by an order of its own, and any of these may be lost, refused, or
-carried out seconds later. A pass that began with some ranks armed would run on two
-maps. So the pass of the switch is first held at one rank, and released only when every
-rank has said that it is armed, or when none is any longer. Holding also keeps two
-processes from changing one group at once: a rank holds one pass at a time.
-
-An order that got no answer may still be carried out late. A late arming is refused
-once its pass has begun. Until then it is made void before the pass is released: the
-rank is given a newer map to prepare, which takes the place of the one that the late
-order names. Every order names the group's epoch, so none outlives a restart.
+"""Change a group's expert map so that all ranks use the same map in every pass.
+
+Each rank is armed by a separate order, and any of these orders may be lost, refused or
+carried out seconds later. A pass that began while only some ranks were armed would run
+with two maps. So the pass of the switch is first held at one rank, and it is released
+only when all ranks have confirmed that they are armed, or when none is armed any more.
+Holding also prevents two processes from changing the same group at the same time,
+because a rank holds only one pass.
+
+An order without an answer may still be carried out late. A late order to arm is refused
+once its pass has begun. To invalidate it before the pass is released, the rank is
+ordered to prepare a newer map, which replaces the one that the late order names. Every
+order contains the group's epoch, so no order has an effect after a restart.
 """
 
 import asyncio
@@ -31,60 +32,60 @@
 
 logger = logging.getLogger(__name__)
 
-# Rank whose hold guards the group; all processes must take the same one.
+# Rank that holds the group's pass; it must be the same in all processes.
 HOLDING_RANK = 0
-# Passes between the last one known and the one of the switch, where their length is
-# not known: a report of a fifth of a second ago is four calm passes old.
+# Passes between the last known one and the switch, if their length is unknown: a report
+# lags by a fifth of a second, which is four passes at low load.
 MAX_STEPS_AHEAD = 6
-# The same at the least: the pass that is under way can't be held.
+# Lower limit, because the pass that is under way can't be held.
 MIN_STEPS_AHEAD = 2
-# Tries of an order that gets no answer: when a third are lost, one change of a dozen
-# ranks in a hundred then fails for it.
+# Attempts for an order that gets no answer. If a third of the orders are lost, one in a
+# hundred changes of a dozen ranks fails because of that.
 ORDER_ATTEMPTS = 8
-# Tries of a hold whose pass had begun already.
+# Attempts to hold a pass if the pass has already begun.
 HOLD_ATTEMPTS = 4
-# Pause before an order is tried again.
+# Pause before an order is repeated.
 RETRY_SECONDS = 0.02
-# Pause between rounds of orders that must succeed sooner or later. Ranks that began
-# anew refuse at once, and their reports show it a fifth of a second later; without a
-# pause thousands of orders are given in that time.
+# Pause between rounds of orders that are repeated until they succeed. Restarted ranks
+# refuse orders at once, but their reports show the new epoch a fifth of a second later.
+# Without a pause, thousands of orders would be sent meanwhile.
 RETRY_ROUND_SECONDS = 0.25
-# How much higher the version of a map is that is given after a refused one.
-VOID_VERSION_STEP = 1000
-# Pause before a rank that still copies is armed again.
+# Increase of the version after a rank has refused a replacement map.
+VERSION_RETRY_STEP = 1000
+# Pause before arming a rank again that is still copying.
 ARM_RETRY_SECONDS = 0.05
-# Beyond the computed time of the copies, a rank gets this long to finish them.
+# Time that a rank gets for its copies in addition to the computed time.
 COPY_SLACK_SECONDS = 0.5
 
 
 class SwitchResult(enum.StrEnum):
-    """Say what became of a change."""
+    """Enumerate the results of a change."""
 
     SWITCHED = "switched"
     # The old map is in force at all ranks.
     ABANDONED = "abandoned"
-    # The group began anew: nothing of before holds.
+    # The group was restarted and has lost the state of the change.
     EPOCH_ENDED = "epoch-ended"
 
 
 @dataclass(slots=True, frozen=True)
 class MapChange:
-    """Hold a new map and what it replaces, as held[layer][rank]."""
+    """Hold a new map and the previous one, each as lists of experts[layer][rank]."""
 
     version: int
     held: list[list[list[int]]]
     previous: list[list[list[int]]]
     copy_seconds: float
-    # Passes between the last one known and the first one with the new map.
+    # Passes between the last known one and the first one with the new map.
     steps_ahead: int = MAX_STEPS_AHEAD
 
 
 def steps_ahead(report_lag, pass_seconds):
-    """Return how many passes to hold ahead of the last one that a report tells of.
+    """Return how many passes after the last reported one to hold.
 
-    Both are in seconds; pass_seconds is None when unknown. Each pass more is one more
-    with the old map, and passes are long just then. One fewer than have begun only
-    costs another order: the hold of a pass that has begun is refused.
+    Both arguments are in seconds; pass_seconds is None if unknown. Each additional pass
+    runs with the old map, while passes are long. If the number is too low, holding a
+    pass that has already begun is refused, which costs only another order.
     """
     if pass_seconds is None:
         return MAX_STEPS_AHEAD
@@ -93,16 +94,16 @@
 
 
 class MapSwitch:
-    """Carry out one change of one group; addresses are by rank."""
+    """Carry out one map change of one group; addresses are keyed by rank."""
 
     __slots__ = (
         "addresses",
         "change",
         "engines",
         "epoch",
+        "highest_version",
         "loop",
         "step",
-        "void_version",
     )
 
     def __init__(self, engines, addresses, epoch, change):
@@ -112,12 +113,16 @@
         self.change = change
         self.loop = asyncio.get_running_loop()
         self.step = 0
-        # Highest version given so far; ranks refuse one that isn't higher than all.
-        self.void_version = change.version + 1
+        # Highest version sent so far; ranks refuse a version that is not higher than
+        # all earlier ones.
+        self.highest_version = change.version + 1
 
     async def run(self):
-        """Prepare, hold, arm and release; return the SwitchResult."""
-        prepared = await self.give_all(
+        """Prepare the map, hold a pass, arm all ranks and release the pass.
+
+        Return the SwitchResult.
+        """
+        prepared = await self.send_order_to_all(
             PrepareMap(self.change.version, self.change.held)
         )
         if not all_accepted(prepared):
@@ -133,7 +138,7 @@
     # Orders
 
     async def send_order(self, rank, order):
-        """Give an order until it is answered, or TRIES times."""
+        """Send an order up to ORDER_ATTEMPTS times until it is answered."""
         for attempt in range(ORDER_ATTEMPTS):
             if attempt:
                 await asyncio.sleep(RETRY_SECONDS)
@@ -144,8 +149,8 @@
                 return result
         return OrderResult.UNANSWERED
 
-    async def give_all(self, order):
-        """Give an order to all ranks; return the results by rank."""
+    async def send_order_to_all(self, order):
+        """Send an order to all ranks and return the results by rank."""
         ranks = sorted(self.addresses)
         results = await asyncio.gather(
             *(self.send_order(rank, order) for rank in ranks)
@@ -155,7 +160,7 @@
     # Holding
 
     async def hold_pass(self):
-        """Hold a pass that is still to come; tell whether that is certain."""
+        """Hold a pass that has not begun; return whether it is certainly held."""
         for _ in range(HOLD_ATTEMPTS):
             report = await self.engines.read_report(self.addresses[HOLDING_RANK])
             if report is None or report.epoch != self.epoch:
@@ -165,26 +170,27 @@
                 case OrderResult.ACCEPTED:
                     return True
                 case OrderResult.UNANSWERED:
-                    # It may hold, or will: let it go lest the group stands still.
+                    # The order may have been or may yet be carried out, and the group
+                    # would stop at the held pass.
                     await self.release_pass(SwitchResult.ABANDONED)
                     return False
         return False
 
     async def release_pass(self, result):
-        """Let the held pass begin; return result, or that the epoch ended.
+        """Let the held pass begin; return result, or EPOCH_ENDED after a restart.
 
-        The group stands still until then, so this is tried for as long as it takes.
+        The group can't continue without the release, so it is repeated indefinitely.
         """
         while True:
-            given = await self.send_order(HOLDING_RANK, ReleasePass(self.step))
-            if given is OrderResult.ACCEPTED:
+            released = await self.send_order(HOLDING_RANK, ReleasePass(self.step))
+            if released is OrderResult.ACCEPTED:
                 return result
             if await self.has_epoch_ended():
                 return SwitchResult.EPOCH_ENDED
             await asyncio.sleep(RETRY_ROUND_SECONDS)
 
     async def has_epoch_ended(self):
-        """Tell whether any rank says that the group began anew."""
+        """Return whether any rank reports another epoch."""
         reports = await asyncio.gather(
             *(self.engines.read_report(each) for each in self.addresses.values())
         )
@@ -193,22 +199,23 @@
     # Arming
 
     async def arm_all(self):
+        """Arm all ranks and return the results by rank."""
         ranks = sorted(self.addresses)
         results = await asyncio.gather(*(self.arm(rank) for rank in ranks))
         return dict(zip(ranks, results, strict=True))
 
     async def arm(self, rank):
-        """Arm one rank; its copies may need a little longer than computed."""
-        latest = self.loop.time() + COPY_SLACK_SECONDS
+        """Arm one rank, allowing COPY_SLACK_SECONDS for copies that are not ready."""
+        deadline = self.loop.time() + COPY_SLACK_SECONDS
         order = ArmMap(self.change.version, self.step)
         while True:
             result = await self.send_order(rank, order)
-            if result is not OrderResult.REFUSED or self.loop.time() >= latest:
+            if result is not OrderResult.REFUSED or self.loop.time() >= deadline:
                 return result
             await asyncio.sleep(ARM_RETRY_SECONDS)
 
     async def abandon(self, armed):
-        """Take all armings back before the pass may begin."""
+        """Disarm all ranks, then release the pass; return the SwitchResult."""
         results = list(armed.values())
         event = MapChangeAbandoned(
             step=self.step,
@@ -226,31 +233,32 @@
                 return await self.release_pass(SwitchResult.ABANDONED)
             if await self.has_epoch_ended():
                 return SwitchResult.EPOCH_ENDED
-            # A rank that was given a higher version by another process refuses ours.
-            self.void_version += VOID_VERSION_STEP
+            # Ranks refuse the version if another process has sent them a higher one.
+            self.highest_version += VERSION_RETRY_STEP
             await asyncio.sleep(RETRY_ROUND_SECONDS)
 
     def version_to_disarm(self, rank):
-        """Return the version that a rank may be armed with; None for none."""
+        """Return the version that a rank may be armed with, or None."""
         return self.change.version
 
     async def disarm(self, rank):
-        """Make sure that a rank isn't armed and won't be; tell whether it is so.
+        """Disarm a rank for good; return whether that is certain.
 
-        An arming that got no answer may come yet, also where a second one was answered
-        or refused: every rank is made to forget the version that it names.
+        An unanswered order to arm may still be carried out, even if a repeated one was
+        accepted or refused. So the rank is also ordered to prepare a replacement for
+        the version that such an order names.
         """
         version = self.version_to_disarm(rank)
         if version is not None:
             disarmed = await self.send_order(rank, DisarmMap(version))
             if disarmed is not OrderResult.ACCEPTED:
                 return False
-        void = PrepareMap(self.void_version, self.change.previous)
-        return await self.send_order(rank, void) is OrderResult.ACCEPTED
+        replacement = PrepareMap(self.highest_version, self.change.previous)
+        return await self.send_order(rank, replacement) is OrderResult.ACCEPTED
 
 
 class AbandonedSwitch(MapSwitch):
-    """Take over a change that another process has left halfway."""
+    """Take over a change that another process has left unfinished."""
 
     __slots__ = ("reports",)
 
@@ -263,22 +271,22 @@
         self.reports = reports
 
     def version_to_disarm(self, rank):
-        """Return what the rank has prepared.
+        """Return the armed or prepared version of a rank, or None.
 
-        The version in use can't be disarmed: the order would be refused for ever, and
-        the group stand still as long.
+        The version in use can't be disarmed. That order would always be refused, and
+        the group would never continue.
         """
         report = self.reports[rank]
         return report.armed_version or report.prepared_version
 
 
 async def recover_held_group(engines, addresses, reports, held):
-    """Release a group that was left held; tell whether it goes on.
+    """Release a pass that another process has left held; return the SwitchResult.
 
-    A process that dies between holding and releasing leaves the group standing. Where
-    every rank is armed the switch is certain and the pass may begin. Else all armings
-    are taken back, and what orders under way could still arm is made void. held is the
-    map in force.
+    A process that ends between holding and releasing a pass leaves the group stopped.
+    If all ranks are armed, the switch is complete and the pass may begin. Otherwise all
+    ranks are disarmed, and orders to arm that are still in transit are invalidated.
+    held is the map in force.
     """
     first = reports[HOLDING_RANK]
     log_event(logger, HeldGroupSettled(first.held_step))
@@ -289,9 +297,9 @@
 
 
 def newest_version(report):
-    """Return the highest version that a rank tells of."""
-    told = (report.map_version, report.prepared_version, report.armed_version)
-    return max(version for version in told if version is not None)
+    """Return the highest version in a rank's report."""
+    versions = (report.map_version, report.prepared_version, report.armed_version)
+    return max(version for version in versions if version is not None)
 
 
 def all_accepted(results):
--- a/tests/unit/test_group_changes.py
+++ b/tests/unit/test_group_changes.py
@@ -1,4 +1,4 @@
-"""Check the change of the expert map in every order of events of small groups."""
+"""Check changes of the expert map in all orders of events in small groups."""
 
 import dataclasses
 
@@ -20,7 +20,7 @@
 )
 from fescuedrum_bench.exploration import Classes, Explorer, Faults, Scenario, Violation
 
-# Kept as they are: each showed a fault of a planted defect or guards a promise.
+# Keep these unchanged: each detected a planted defect or checks a guarantee.
 SCENARIOS = {
     "no faults, three ranks": Scenario(ranks=3),
     "loading": Scenario(loading=True),
@@ -51,11 +51,11 @@
 
 @pytest.mark.parametrize("name", list(SCENARIOS))
 def test_no_step_runs_under_two_maps(name):
-    """Some answers are nonsense for a moment after popularity has shifted.
+    """Guard against wrong answers during a change of the map.
 
-    One rank used the new map a step before another, so tokens went to experts that
-    were not there: a message of the change was late, lost or doubled, or a process
-    was killed between its parts.
+    One rank used the new map a step before another, so tokens were sent to experts that
+    the receiver did not have. A message was late, lost or duplicated, or a process was
+    killed during the change.
     """
     explorer = Explorer(SCENARIOS[name])
     explorer.walk(WALKS)
@@ -63,47 +63,47 @@
 
 
 @pytest.mark.parametrize("loading", [False, True])
-def test_all_orders_of_events_without_faults_keep_one_map(loading):
+def test_all_event_orders_without_faults_keep_one_map(loading):
     explorer = Explorer(Scenario(loading=loading))
     assert explorer.run() > 100
     assert explorer.complete
 
 
-def test_a_late_order_to_hold_does_not_undo_a_switch():
-    """One rank keeps the old map after a change, and its tokens go astray.
+def test_late_order_to_hold_does_not_undo_a_switch():
+    """Guard against a rank that keeps the old map and misroutes its tokens.
 
-    The engine is slow. It takes a repeated order to hold after the decision, and says
-    that it holds; the agent took that for a forgotten hold and released it, which
-    dropped the new weights before the order to switch came.
+    A slow engine accepts a repeated order to hold after the decision and reports that
+    it holds. The agent treated that as an old hold and released it, which dropped the
+    new weights before the order to switch arrived.
     """
     engine = EngineState(0, 0, loaded=frozenset({5}))
-    member = Participant(1, 1, engine)
-    member.handle(Arm(1, 5, None))
-    member.held(5, 17)
-    member.handle(Decision(1, 5, True, 17, 1))
-    assert member.held(5, 17) == [ToEngine(SwitchAt(5, 17))]
-
-
-def test_a_rank_under_another_map_does_not_arm():
-    """A holder plans from a map that a change has replaced without its knowledge."""
-    member = Participant(1, 1, EngineState(7, 3, loaded=frozenset({7, 9})))
-    member.handle(Load(9, 1, base=5))
-    (answer,) = member.handle(Arm(1, 9, None))
+    participant = Participant(1, 1, engine)
+    participant.handle(Arm(1, 5, None))
+    participant.held(5, 17)
+    participant.handle(Decision(1, 5, True, 17, 1))
+    assert participant.held(5, 17) == [ToEngine(SwitchAt(5, 17))]
+
+
+def test_rank_with_another_base_map_does_not_arm():
+    """Guard against a plan based on a map that was replaced unknown to the holder."""
+    participant = Participant(1, 1, EngineState(7, 3, loaded=frozenset({7, 9})))
+    participant.handle(Load(9, 1, base=5))
+    (answer,) = participant.handle(Arm(1, 9, None))
     assert answer.message.hold_step is None
 
 
-class LowestHorizon(Arbiter):
-    """Switch at the lowest horizon, which a faster rank has passed."""
+class LowestHoldStep(Arbiter):
+    """Switch at the lowest hold step, which a faster rank has passed."""
 
     def decide(self, now):
-        horizons = [each.hold_step for each in self.round.answers.values()]
-        if None in horizons:
+        hold_steps = [each.hold_step for each in self.round.answers.values()]
+        if None in hold_steps:
             return self.record_decision(False, 0, now)
-        return self.record_decision(True, min(horizons), now)
+        return self.record_decision(True, min(hold_steps), now)
 
 
 class DecidesAlone(Arbiter):
-    """Give up a change after a restart without hearing all ranks."""
+    """Abandon a change after a restart without the answers of all ranks."""
 
     def tick(self, now):
         if self.round is not None:
@@ -112,7 +112,7 @@
 
 
 class ForgetsToRaise(Arbiter):
-    """Take the epoch that the arbiter before had."""
+    """Use the same epoch as the previous arbiter."""
 
     def handle_rank_state(self, rank_state, now):
         lower = dataclasses.replace(
@@ -122,15 +122,15 @@
 
 
 class OverridesKnown(Arbiter):
-    """Decide afresh although a rank knows the decision."""
+    """Decide again although a rank knows the decision."""
 
     def decide(self, now):
-        horizons = [each.hold_step or 0 for each in self.round.answers.values()]
-        return self.record_decision(True, max(horizons), now)
+        hold_steps = [each.hold_step or 0 for each in self.round.answers.values()]
+        return self.record_decision(True, max(hold_steps), now)
 
 
 class AnswersStay(Arbiter):
-    """Tell a rank that asks of an unknown change that the old map stays."""
+    """Answer a rank's question about an unknown change that the old map stays."""
 
     def handle_ask(self, question, now):
         if question.change not in self.decisions:
@@ -153,22 +153,22 @@
 
 
 class TakesOldEpochs(Participant):
-    """Take a decision of an earlier arbiter after a promise to a later one."""
+    """Accept a decision of an earlier arbiter after a promise to a later one."""
 
     def handle_decision(self, decision):
         return self.apply_decision(decision)
 
 
 class ArmsUnloaded(Participant):
-    """Arm for a map whose weights are not there."""
+    """Arm for a map whose weights are not loaded."""
 
-    def answer(self, change):
+    def answer_arm(self, change):
         self.loaded.add(change)
-        return super().answer(change)
+        return super().answer_arm(change)
 
 
 class GivesUpWaiting(Participant):
-    """Go on past the horizon when no decision has come."""
+    """Continue past the hold step without a decision."""
 
     def tick(self):
         if self.pending_change:
@@ -178,7 +178,7 @@
 
 
 class ForgetsHold(Participant):
-    """Start anew without asking the engine what it waits for."""
+    """Restart without reading from the engine what it waits for."""
 
     def __init__(self, rank, incarnation, engine, **options):
         forgotten = dataclasses.replace(engine, held=0)
@@ -189,18 +189,18 @@
 
 
 class AnswersBeforeHold(Participant):
-    """Answer with a horizon before the engine has agreed to stop there."""
+    """Answer with a hold step before the engine has confirmed it."""
 
-    def answer(self, change):
-        effects = super().answer(change)
+    def answer_arm(self, change):
+        effects = super().answer_arm(change)
         if self.pending_change == change and self.hold_step is None:
             self.hold_step = 1
-            effects.append(self.armed_answer(change, 1, None))
+            effects.append(self.armed_message(change, 1, None))
         return effects
 
 
 class SwitchesAtOnce(Participant):
-    """Use the new map from the next step on, whatever the decision says."""
+    """Use the new map from the next step on instead of the decided one."""
 
     def apply_decision(self, decision):
         at_once = dataclasses.replace(decision, step=0)
@@ -208,7 +208,7 @@
 
 
 DEFECTS = {
-    LowestHorizon: ("arbiter", "no faults, three ranks"),
+    LowestHoldStep: ("arbiter", "no faults, three ranks"),
     DecidesAlone: ("arbiter", "late rank"),
     ForgetsToRaise: ("arbiter", "late rank"),
     OverridesKnown: ("arbiter", "late rank"),
@@ -224,7 +224,7 @@
 
 
 @pytest.mark.parametrize("defect", list(DEFECTS))
-def test_the_exploration_catches_planted_defects(defect):
+def test_exploration_detects_planted_defects(defect):
     role, name = DEFECTS[defect]
     classes = dataclasses.replace(Classes(), **{role: defect})
     scenario = dataclasses.replace(SCENARIOS[name], classes=classes)
@@ -232,31 +232,33 @@
         Explorer(scenario).walk(5000)
 
 
-def test_a_woken_holder_is_refused():
-    """A paused entry wakes and orders every rank to fetch weights for an old plan."""
-    member = Participant(0, 1, EngineState(0, 0))
-    member.handle(Load(2 << 20, 2, 0))
-    assert member.handle(Load(1 << 20, 1, 0)) == [ToHolder(Refused(2))]
-    arbiter_floor = Holder([0, 1], 1)
-    arbiter_floor.handle(Refused(2))
-    assert arbiter_floor.phase is HolderPhase.DEPOSED
+def test_resumed_holder_is_refused():
+    """Guard against a paused holder that resumes and orders ranks to load old plans."""
+    participant = Participant(0, 1, EngineState(0, 0))
+    participant.handle(Load(2 << 20, 2, 0))
+    assert participant.handle(Load(1 << 20, 1, 0)) == [ToHolder(Refused(2))]
+    holder = Holder([0, 1], 1)
+    holder.handle(Refused(2))
+    assert holder.phase is HolderPhase.DEPOSED
 
 
-def test_no_message_is_sent_while_no_change_is_under_way():
-    """Stepping must cost nothing: neither ranks nor arbiter talk without a change."""
-    members = [Participant(rank, 1, EngineState(0, 0)) for rank in range(3)]
+def test_no_messages_are_sent_without_a_change():
+    """Guard against messages between ranks and arbiter that cost time in every step."""
+    participants = [Participant(rank, 1, EngineState(0, 0)) for rank in range(3)]
     arbiter = Arbiter(range(3), 1)
     arbiter.start()
-    for member in members:
-        arbiter.handle(member.rank_state(1), 0.0)
+    for participant in participants:
+        arbiter.handle(participant.rank_state(1), 0.0)
     assert arbiter.ready
     assert arbiter.tick(1.0) == []
-    assert [effect for member in members for effect in member.tick()] == []
+    assert [
+        effect for participant in participants for effect in participant.tick()
+    ] == []
 
 
-def test_an_armed_rank_repeats_its_first_horizon():
-    member = Participant(1, 1, EngineState(0, 0, loaded=frozenset({5})))
-    member.handle(Arm(1, 5, None))
-    (first,) = member.held(5, 17)
-    (again,) = member.handle(Arm(1, 5, None))
+def test_armed_rank_repeats_its_first_hold_step():
+    participant = Participant(1, 1, EngineState(0, 0, loaded=frozenset({5})))
+    participant.handle(Arm(1, 5, None))
+    (first,) = participant.held(5, 17)
+    (again,) = participant.handle(Arm(1, 5, None))
     assert first.message == again.message == Armed(1, 1, 1, 5, 17, None)
--- a/tests/unit/test_platform_orders.py
+++ b/tests/unit/test_platform_orders.py
@@ -1,4 +1,4 @@
-"""Check how long the adapter waits for an engine's answer to an order."""
+"""Check how long the platform adapter waits for an engine's answer to an order."""
 
 import asyncio
 import json
@@ -12,7 +12,7 @@
 RANKS = 63
 LAYERS = 8
 EXPERTS = 252
-# What a map for all ranks takes on a link of 20 Mbit/s.
+# Time that a map for all ranks takes on a link of 20 Mbit/s.
 SLOW_SECONDS = 0.3
 NARROW_MEGABITS = 20.0
 WIDE_MEGABITS = 200.0
@@ -24,7 +24,7 @@
 
 
 async def send_to_slow_engine(order, delay, link_megabits):
-    """Give an order to an engine that answers late; return (result, body it got)."""
+    """Send an order to an engine that answers late; return (result, received body)."""
     bodies = []
 
     async def answer(request):
@@ -45,12 +45,12 @@
     return result, bodies[0]
 
 
-async def test_a_large_map_is_waited_for():
-    """No map is changed all day, and every stream of a large group is late.
+async def test_timeout_is_longer_for_large_maps():
+    """Guard against a large group whose map is never changed, so all streams are late.
 
-    The gateway that leads has a narrow link: the map for all ranks takes a third of a
-    second on it. Each order was given up after a tenth, given again, and refused, as
-    the rank had taken it the first time.
+    The leading gateway has a slow link, on which the map for all ranks takes a third of
+    a second. Each order timed out after a tenth of a second, was sent again, and was
+    refused because the rank had accepted it the first time.
     """
     order = PrepareMap(4, build_map())
     result, body = await send_to_slow_engine(order, SLOW_SECONDS, NARROW_MEGABITS)
@@ -59,38 +59,38 @@
     assert len(json.dumps(body)) > 10_000
 
 
-async def test_a_short_order_that_gets_no_answer_is_noticed_soon():
+async def test_timeout_is_short_for_small_orders():
     result, _ = await send_to_slow_engine(HoldPass(9), SLOW_SECONDS, NARROW_MEGABITS)
     assert result is OrderResult.UNANSWERED
 
 
-async def test_on_a_wide_link_a_map_that_gets_no_answer_is_noticed_soon():
-    """Streams are late for two seconds and more after each move of demand.
+async def test_timeout_is_short_for_maps_on_a_fast_link():
+    """Guard against streams that are late for over two seconds after each shift.
 
     One order in ten gets no answer. A map takes hundredths of a second on this link,
-    and yet each round of orders waited for half a second, as on the narrowest one.
+    but each round of orders waited for half a second, as on the slowest link.
     """
     order = PrepareMap(4, build_map())
     result, _ = await send_to_slow_engine(order, SLOW_SECONDS, WIDE_MEGABITS)
     assert result is OrderResult.UNANSWERED
 
 
-def test_a_map_for_all_ranks_is_encoded_once(monkeypatch):
-    """Maps of a large group follow demand a third of a second later than they could.
+def test_map_for_all_ranks_is_encoded_once(monkeypatch):
+    """Guard against a delay of a third of a second for map changes of a large group.
 
-    The same map was encoded for each of 129 ranks, one after the other.
+    The same map was encoded again for each of 129 ranks.
     """
     encoded = []
 
-    def note(order, epoch):
+    def record_encoding(order, epoch):
         encoded.append((order, epoch))
         return b"%d" % len(encoded)
 
-    monkeypatch.setattr("fescuedrum_platform.engines.encode_body", note)
+    monkeypatch.setattr("fescuedrum_platform.engines.encode_body", record_encoding)
     engines = PlatformEngines(None, WIDE_MEGABITS)
     order = PrepareMap(4, build_map())
     assert {engines.encode_once(order, 1) for _ in range(RANKS)} == {b"1"}
-    # Another epoch, and another order, have bytes of their own.
+    # Another epoch or order is encoded separately.
     assert engines.encode_once(order, 2) == b"2"
     assert engines.encode_once(HoldPass(9), 2) == b"3"
     assert len(encoded) == 3
--- a/tests/unit/test_switching.py
+++ b/tests/unit/test_switching.py
@@ -1,4 +1,4 @@
-"""Check that a group never passes with two maps, whatever becomes of the orders."""
+"""Check that no pass runs with two maps, whatever happens to the orders."""
 
 import asyncio
 import random
@@ -41,14 +41,14 @@
 
 
 def play(story, **faults):
-    """Run story(group) beside the group's passes; return the group."""
+    """Run story(group) while the group makes passes; return the group."""
 
     async def run():
         group = StandInGroup(build_held(), **faults)
         passes = asyncio.create_task(group.run())
         await asyncio.sleep(0.5)
         await story(group)
-        # Orders that come late must find nothing that they could harm.
+        # Wait for late orders, which must not have an effect.
         await asyncio.sleep(10)
         passes.cancel()
         return group
@@ -60,7 +60,7 @@
     return {rank.map_version for rank in group.ranks}
 
 
-def test_all_ranks_switch_at_one_pass_and_the_group_is_not_held_up():
+def test_all_ranks_switch_at_one_pass_without_a_delay():
     async def story(group):
         switch = MapSwitch(group, group.addresses, 1, build_change())
         assert await switch.run() is SwitchResult.SWITCHED
@@ -72,11 +72,11 @@
 
 
 @pytest.mark.parametrize("pass_seconds", [0.044, 0.11, 0.3])
-def test_a_new_map_comes_two_passes_after_what_a_report_lags_by(pass_seconds):
-    """Every stream is late for half a second more after each move of demand.
+def test_switch_is_at_most_two_passes_after_the_report_lag(pass_seconds):
+    """Guard against streams that are late for another half second after each shift.
 
-    The switch is set six passes ahead, as many as a report lags behind when passes are
-    short; but a change is due when they are long, and then it lags by two.
+    The switch was set six passes ahead, as needed for the lag of a report when passes
+    are short. But changes are made when passes are long, and then it lags by two.
     """
 
     async def story(group):
@@ -93,11 +93,11 @@
     assert group.passes_held <= 1
 
 
-def test_an_arming_that_is_refused_leaves_the_old_map_everywhere():
-    """One rank can't switch, and a pass runs with two maps.
+def test_refused_arming_keeps_the_old_map_on_all_ranks():
+    """Guard against a pass with two maps when one rank can't switch.
 
-    Every rank but one is armed; that one was given another map to prepare meanwhile.
-    The armed ranks must be disarmed before the pass may begin.
+    All ranks but one are armed; that one has been ordered to prepare another map. The
+    armed ranks must be disarmed before the pass may begin.
     """
 
     async def story(group):
@@ -112,21 +112,21 @@
     assert group.mixed_passes == []
 
 
-def test_a_late_arming_is_void_when_its_pass_begins():
-    """A rank switches alone, seconds after the change was given up.
+def test_late_arming_has_no_effect_when_its_pass_begins():
+    """Guard against a single rank that switches seconds after an abandoned change.
 
-    The arming of one rank gets no answer, and the change is abandoned. The order is
-    carried out just before the held pass begins. The rank has been given a newer map
-    to prepare by then, so the order names nothing that it has.
+    The order to arm one rank gets no answer, and the change is abandoned. The order is
+    carried out just before the held pass begins. The rank has prepared a newer map by
+    then, so it must refuse the order.
     """
 
     async def story(group):
-        give = group.send_order
+        send_order = group.send_order
 
         async def lose_arming(address, epoch, order):
             if isinstance(order, ArmMap) and address[1] == 3:
                 return OrderResult.UNANSWERED
-            return await give(address, epoch, order)
+            return await send_order(address, epoch, order)
 
         group.send_order = lose_arming
         switch = MapSwitch(group, group.addresses, 1, build_change())
@@ -139,17 +139,17 @@
     assert group.mixed_passes == []
 
 
-def test_a_hold_without_an_answer_does_not_leave_the_group_standing():
-    """A group stands still for good, and every request to it is lost.
+def test_unanswered_hold_does_not_stop_the_group():
+    """Guard against a group that stops forever and loses all its requests.
 
-    The hold was carried out, but its answer was lost, and the change is given up.
+    The hold is carried out, but its answer is lost, and the change is abandoned.
     """
 
     async def story(group):
-        give = group.send_order
+        send_order = group.send_order
 
         async def lose_answer(address, epoch, order):
-            result = await give(address, epoch, order)
+            result = await send_order(address, epoch, order)
             return OrderResult.UNANSWERED if isinstance(order, HoldPass) else result
 
         group.send_order = lose_answer
@@ -174,21 +174,22 @@
     assert group.mixed_passes == []
 
 
-def test_a_late_arming_is_void_though_the_rank_was_armed_by_a_second_order():
-    """Ranks of a group compute with two maps, and answers are wrong.
+def test_late_arming_has_no_effect_after_a_second_order_was_accepted():
+    """Guard against wrong answers from a pass with two maps.
 
-    One rank is cut off, so that the change is given up, and the pass stays held until
-    the rank is back. Another rank's first arming got no answer, its second one did, and
-    it was disarmed; then the first order is carried out, while the pass is held.
+    One rank is unreachable, so the change is abandoned, and the pass is held until the
+    rank is back. The first order to arm another rank gets no answer, the second one is
+    accepted, and the rank is disarmed. Then the first order is carried out, while the
+    pass is still held.
     """
 
     async def story(group):
-        give = group.send_order
+        send_order = group.send_order
         loop = asyncio.get_running_loop()
         cut_until = loop.time() + 4.0
         late = []
 
-        async def give_faultily(address, epoch, order):
+        async def send_faultily(address, epoch, order):
             is_cut = address[1] == 3 and loop.time() < cut_until
             if is_cut and not isinstance(order, PrepareMap):
                 await asyncio.sleep(0.08)
@@ -197,9 +198,9 @@
                 task = group.take_late(2.5, 2, epoch, order)
                 late.append(asyncio.create_task(task))
                 return OrderResult.UNANSWERED
-            return await give(address, epoch, order)
+            return await send_order(address, epoch, order)
 
-        group.send_order = give_faultily
+        group.send_order = send_faultily
         switch = MapSwitch(group, group.addresses, 1, build_change())
         assert await switch.run() is SwitchResult.ABANDONED
         assert late[0].done()
@@ -209,10 +210,10 @@
     assert versions(group) == {0}
 
 
-def test_a_rank_with_a_higher_version_does_not_hold_the_group_for_good():
-    """A group stands still because one rank refuses to forget a map it never had.
+def test_rank_with_a_higher_version_does_not_stop_the_group():
+    """Guard against a group that stops because one rank refuses a replacement map.
 
-    Another process gave that rank a higher version meanwhile.
+    Another process has sent that rank a higher version meanwhile.
     """
 
     async def story(group):
@@ -222,29 +223,30 @@
         group.take(2, 1, PrepareMap(3500, build_held()))
         async with asyncio.timeout(5):
             assert await running is SwitchResult.ABANDONED
-        assert switch.void_version > 3500
+        assert switch.highest_version > 3500
 
     assert play(story).mixed_passes == []
 
 
-def test_ranks_that_began_anew_are_not_flooded_with_orders():
-    """A group's engines are kept busy by thousands of orders a second.
+def test_restarted_ranks_are_not_flooded_with_orders():
+    """Guard against thousands of orders per second to a group's engines.
 
-    One arming is refused, and the change is given up. The group begins anew before the
-    others are disarmed: all refuse at once, while reports still tell of the old epoch.
+    One order to arm is refused, and the change is abandoned. The group restarts before
+    the other ranks are disarmed: all of them refuse orders at once, while their reports
+    still show the old epoch.
     """
-    given = []
+    sent = []
 
     async def story(group):
-        give = group.send_order
+        send_order = group.send_order
 
-        async def count(address, epoch, order):
-            given.append(order)
+        async def count_orders(address, epoch, order):
+            sent.append(order)
             if isinstance(order, DisarmMap) and group.epoch == 1:
                 group.restart()
-            return await give(address, epoch, order)
+            return await send_order(address, epoch, order)
 
-        group.send_order = count
+        group.send_order = count_orders
         switch = MapSwitch(group, group.addresses, 1, build_change())
         running = asyncio.create_task(switch.run())
         await asyncio.sleep(0.05)
@@ -252,16 +254,16 @@
         assert await running is SwitchResult.EPOCH_ENDED
 
     play(story)
-    assert len(given) < 100
+    assert len(sent) < 100
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_passes_have_one_map_under_lost_and_late_orders(seed):
-    """Ranks of a group compute with two maps, and answers are wrong.
+def test_passes_have_one_map_despite_lost_and_late_orders(seed):
+    """Guard against wrong answers from a pass with two maps.
 
-    A third of the orders get no answer; some of these are carried out up to six
-    seconds later. Changes follow one another, and some end halfway because the process
-    that leads them dies; another one then settles what it finds.
+    A third of the orders get no answer; some of these are carried out up to six seconds
+    later. Changes follow one another, and some stay unfinished because their process
+    ends; another process then recovers the group.
     """
     chance = random.Random(seed)
 
@@ -284,7 +286,7 @@
 
 
 async def recover_when_abandoned(group):
-    """Do as a successor: settle a hold that stands for a while."""
+    """Recover the group like a successor does once a pass is held for some time."""
     for _ in range(20):
         await asyncio.sleep(1.0)
         report = await group.read_report(group.addresses[HOLDING_RANK])
