--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/demand.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/demand.py
@@ -1,4 +1,4 @@
-"""Read which experts are in demand from some ranks of a group."""
+"""Measure the demand for experts from the counts of some ranks of a group."""
 
 import asyncio
 import logging
@@ -9,13 +9,13 @@
 
 logger = logging.getLogger(__name__)
 
-# Each rank counts the experts of its own requests. The counts of three of a dozen ranks
-# over a quarter of a second missed the demand by 9%, those of one by 13%; a read is
-# paid by its numbers.
+# Each rank counts the experts of its own requests. Over a quarter of a second, counts
+# of three of a dozen ranks differ from the demand by 9%, those of one rank by 13%. The
+# cost of a read grows with the number of counts.
 MAX_SAMPLED_RANKS = 3
-# A read also stops the group, for half a millisecond for every 400 numbers, and passes
-# are long just then: with 2,016 numbers a rank, reads of three ranks made more passes
-# longer than the pause that streams allow. Two plays of a heavy day had a worth of 0.46
+# A read also stops the group, half a millisecond for every 400 counts, at a time when
+# passes are long. With 2,016 counts per rank, reading three ranks makes more passes
+# longer than the pause that streams allow. In two runs of a busy day the score was 0.46
 # with three ranks and 0.48 with two.
 MAX_SAMPLED_COUNTS = 4500
 MIN_SAMPLED_RANKS = 2
@@ -24,22 +24,25 @@
 
 
 class DemandSample:
-    """Follow one group's demand; times are loop time in seconds."""
+    """Hold the measured demand of one group and which ranks it is measured at.
+
+    Times are loop time in seconds.
+    """
 
     __slots__ = ("demand", "first_rank", "has_unexplained_slowdown", "read_at")
 
     def __init__(self):
         self.demand = Demand()
-        # Whether passes were slow and the newest measure showed no reason for it.
+        # Whether passes were slow although the latest measurement showed no reason.
         self.has_unexplained_slowdown = False
-        # The first of the ranks that are read.
+        # First of the ranks that are read.
         self.first_rank = 0
         self.read_at = float("-inf")
 
-    def ranks(self, size, counts_per_rank):
-        """Return the ranks to read: spread, as neighbours often share a zone.
+    def ranks_to_read(self, size, counts_per_rank):
+        """Return the ranks to read in a group of the given size.
 
-        numbers is how many counts each of them tells.
+        They are spread out, because adjacent ranks are often in the same zone.
         """
         count = min(
             MAX_SAMPLED_RANKS,
@@ -47,33 +50,33 @@
             size,
         )
         return [
-            (self.first_rank + size * place // count) % size for place in range(count)
+            (self.first_rank + size * index // count) % size for index in range(count)
         ]
 
     def rotate_ranks(self, size):
-        """Go on with the counts of other ranks.
+        """Continue with the counts of other ranks.
 
-        A rank whose zone is out of service gets no requests, and its counts stand
-        still. Demand would seem never to move, and the map would stay as it is.
+        A rank whose zone is out of service gets no requests, and its counts don't
+        change. Demand would seem never to shift, and the map would not be changed.
         """
         self.first_rank = (self.first_rank + 1) % size
         self.demand.reset_counts()
 
 
 class DemandReader:
-    """Read counts of a service's groups."""
+    """Read the counts of a service's groups."""
 
     __slots__ = ("counts_per_rank", "engines", "layers", "loop")
 
     def __init__(self, engines, profile):
         self.engines = engines
         self.layers = profile.layers
-        # How many counts a rank tells.
+        # Number of counts that a rank reports.
         self.counts_per_rank = profile.layers * profile.experts
         self.loop = asyncio.get_running_loop()
 
     async def remeasure(self, group):
-        """Learn the demand of the next moment, whatever it was; tell whether."""
+        """Discard a group's demand and measure it again; return whether that worked."""
         group.sample.demand.reset()
         await self.read(group)
         await asyncio.sleep(MEASURE_INTERVAL_SECONDS)
@@ -83,13 +86,16 @@
         return False
 
     async def read(self, group):
-        """Take the demand since the last read into what is known; tell whether."""
+        """Update a group's demand with the counts since the last read.
+
+        Return whether it was updated.
+        """
         sample = group.sample
         sample.read_at = self.loop.time()
         answers = await asyncio.gather(
             *(
                 self.engines.read_counts(group.addresses[rank])
-                for rank in sample.ranks(group.ranks, self.counts_per_rank)
+                for rank in sample.ranks_to_read(group.ranks, self.counts_per_rank)
             )
         )
         usable = [each for each in answers if each and each.epoch == group.epoch]
@@ -102,5 +108,5 @@
 
 
 def add_elementwise(count_lists):
-    """Add up lists of the same length, place by place."""
-    return [sum(places) for places in zip(*count_lists, strict=False)]
+    """Return the sums of the elements at the same index of several lists."""
+    return [sum(counts) for counts in zip(*count_lists, strict=False)]
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/duty.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/duty.py
@@ -1,4 +1,4 @@
-"""Keep expert maps while this process is the one that leads."""
+"""Keep expert maps balanced while this process is the leader."""
 
 import asyncio
 import logging
@@ -9,26 +9,27 @@
 
 logger = logging.getLogger(__name__)
 
-# Time between looks at a group: one that begins anew has its first map again, which is
-# three times as slow as a good one.
+# Time between checks of a group. A restarted group uses its initial map again, which is
+# three times as slow as a balanced one.
 CHECK_INTERVAL_SECONDS = 0.25
-# Looks at the pace of streams in between: a pass takes about as long.
+# Checks for a slowdown of streams in this time, about one per pass.
 SLOWDOWN_CHECKS = 5
 
 
 class GroupSupervisor:
-    """Keep all groups while this process leads."""
+    """Run a keeper for the groups of each service while this process is the leader."""
 
     __slots__ = ("engines", "gateway", "keepers", "leads")
 
     def __init__(self, gateway, engines):
         self.gateway = gateway
         self.engines = engines
-        # Keeper by name of service.
+        # Keepers by service name.
         self.keepers = {}
         self.leads = False
 
     async def run(self):
+        """Check all groups periodically while this process is the leader."""
         while True:
             await self.wait_for_next_check()
             self.update_leadership()
@@ -37,7 +38,7 @@
                     await keeper.check_groups()
 
     async def wait_for_next_check(self):
-        """Pass the time until the next look."""
+        """Wait for the next check of the groups; as leader, watch for slowdowns."""
         for _ in range(SLOWDOWN_CHECKS if self.leads else 0):
             await asyncio.sleep(CHECK_INTERVAL_SECONDS / SLOWDOWN_CHECKS)
             for keeper in self.keepers.values():
@@ -46,6 +47,7 @@
             await asyncio.sleep(CHECK_INTERVAL_SECONDS)
 
     def update_leadership(self):
+        """Update whether this process is the leader; reset the keepers on a change."""
         leads = self.gateway.ready and self.gateway.peers.is_leader()
         if leads != self.leads:
             self.leads = leads
@@ -54,8 +56,8 @@
                 keeper.reset()
 
     def update_keepers(self):
-        """Return the keepers of the services that the configuration names now."""
-        gateway, kept = self.gateway, {}
+        """Return a keeper for each service of the configuration that has groups."""
+        gateway, keepers = self.gateway, {}
         for service in gateway.configuration.table.document.services:
             if service.engine is None or service.engine.experts is None:
                 continue
@@ -69,6 +71,6 @@
                     gateway.metrics,
                     gateway.random,
                 )
-            kept[service.name] = keeper
-        self.keepers = kept
-        return kept.values()
+            keepers[service.name] = keeper
+        self.keepers = keepers
+        return keepers.values()
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/groups.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/groups.py
@@ -1,4 +1,4 @@
-"""Find the groups of a service's engines and the maps that are in force there."""
+"""Find the groups of a service's engines and the maps that they use."""
 
 import asyncio
 import logging
@@ -12,28 +12,29 @@
 
 logger = logging.getLogger(__name__)
 
-# Time between looks for groups while one is missing or not whole. A group of a dozen
-# ranks forms within a second of its last rank's return.
+# Time between searches while groups are missing or incomplete. A group of a dozen ranks
+# forms within a second of the return of its last rank.
 SEARCH_INTERVAL_SECONDS = 0.3
 
 
 @dataclass(slots=True)
 class Group:
-    """Hold one whole group and what is known of its demand."""
+    """Hold the state of one complete group, its map and its demand."""
 
     name: str
     epoch: int
     addresses: dict[int, tuple[str, int]]
-    # held[layer][rank]: the map in force, as sets.
-    held: list[list[set[int]]]
-    # Its version, and the pass from which on it is in force.
+    # Map in force, as sets of experts in expert_map[layer][rank].
+    expert_map: list[list[set[int]]]
+    # Its version, and the first pass that uses it.
     map_version: int
     map_step: int
-    # Highest version that any rank was given.
-    version: int
-    # Pass of the newest report.
+    # Highest version that was sent to any rank.
+    highest_version: int
+    # Pass of the latest report.
     last_seen_step: int
     sample: DemandSample = field(default_factory=DemandSample)
+    # Pass that is held, and the loop time since when it is.
     held_step: int | None = None
     held_since: float = 0.0
 
@@ -42,15 +43,15 @@
         return len(self.addresses)
 
     def has_different_map(self, report):
-        """Tell whether a report shows that another process has changed the map.
+        """Return whether a report shows that another process has changed the map.
 
-        Reports lag: one from before the pass of the own change tells of the old map.
+        Reports lag, so a report from before map_step may still show the previous map.
         """
         return report.step >= self.map_step and report.map_version != self.map_version
 
 
 class GroupFinder:
-    """Know the groups of one service; endpoints() lists its endpoints."""
+    """Find and hold the groups of one service; endpoints() lists its endpoints."""
 
     __slots__ = ("endpoints", "engines", "groups", "last_search_at", "loop")
 
@@ -62,23 +63,24 @@
         self.last_search_at = float("-inf")
 
     def reset(self):
-        """Drop all groups, and look for them at once when they are asked for."""
+        """Drop all groups, so that the next search is due at once."""
         self.groups.clear()
         self.last_search_at = float("-inf")
 
     def drop(self, group):
-        """Drop a group that is not what it was, and look for it at once."""
+        """Drop a group that has changed, so that the next search is due at once."""
         self.groups.pop(group.name, None)
         self.last_search_at = float("-inf")
 
     def needs_search(self):
+        """Return whether endpoints without a group should be searched now."""
         known = sum(group.ranks for group in self.groups.values())
         if known and known == len(self.endpoints()):
             return False
         return self.loop.time() - self.last_search_at >= SEARCH_INTERVAL_SECONDS
 
     async def search(self, profile):
-        """Ask all endpoints to which groups they belong."""
+        """Read from all endpoints which groups they belong to, and add new groups."""
         self.last_search_at = self.loop.time()
         addresses = [(each.host, each.port) for each in self.endpoints()]
         reports = await asyncio.gather(
@@ -95,30 +97,30 @@
                 await self.add_group(name, epoch, members, profile)
 
     async def add_group(self, name, epoch, members, profile):
-        """Take a group all of whose ranks were found."""
+        """Add a group if all of its ranks were found and its map can be read."""
         _, first = next(iter(members.values()))
         if set(members) != set(range(first.ranks)):
             log_event(logger, GroupNotWhole(name, len(members), first.ranks))
             return
         addresses = {rank: address for rank, (address, _) in members.items()}
-        held = await self.read_map_in_force(addresses, first, profile)
-        if held is None:
+        expert_map = await self.read_map_in_force(addresses, first, profile)
+        if expert_map is None:
             return
-        version = max(newest_version(report) for _, report in members.values())
+        highest_version = max(newest_version(report) for _, report in members.values())
         self.groups[name] = Group(
             name=name,
             epoch=epoch,
             addresses=addresses,
-            held=held,
+            expert_map=expert_map,
             map_version=first.map_version,
             map_step=first.step,
-            version=version,
+            highest_version=highest_version,
             last_seen_step=first.step,
         )
         log_event(logger, GroupFound(name, epoch, len(members), first.map_version))
 
     async def read_map_in_force(self, addresses, report, profile):
-        """Return the map in force; None when a rank does not tell."""
+        """Return the map in force, or None if it can't be read from all ranks."""
         if report.map_version == 0:
             return even.initial_map(profile.experts, report.ranks, profile.layers)
         ranks = range(report.ranks)
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/keeper.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/keeper.py
@@ -1,4 +1,4 @@
-"""Keep the ranks of model engines' groups even while demand for experts moves."""
+"""Keep the expert maps of a service's groups balanced as demand shifts."""
 
 import asyncio
 import logging
@@ -26,31 +26,32 @@
 
 logger = logging.getLogger(__name__)
 
-# Time between reads of counts while the pace of streams would show a move of demand.
-# Passes that are slow already when a process begins to lead are taken for the usual
-# ones; the next read finds that the map does not suit.
+# Time between reads of counts while the timing of streams would show a shift of demand.
+# Passes that are already slow when a process becomes the leader are used as the
+# baseline; the next read detects that the map does not suit the demand.
 READ_INTERVAL_SECONDS = 2.0
-# The same while too few streams pass through this process to tell the pace: a move is
-# then seen about as late as by two reads half a second apart.
+# Time between reads while too few streams pass through this process to measure passes;
+# a shift is then detected about as late as with two reads half a second apart.
 READ_INTERVAL_WITHOUT_STREAMS_SECONDS = 0.75
-# Time after a read in which a slowdown is no new sign: the demand was just measured,
-# and the passes that tell of a slowdown span up to 0.2 s.
+# Time after a read in which slowdowns are ignored: demand was just measured, and the
+# passes that show a slowdown span up to 0.2 s.
 SLOWDOWN_HOLDOFF_SECONDS = 0.4
-# A hold that stands for so long has been left behind: a switch takes a fraction of it.
+# Time after which a held pass counts as abandoned by its process; a switch takes a
+# fraction of it.
 ABANDONED_HOLD_SECONDS = 0.5
-# Length of a calm pass, where no streams pass through this process that tell it.
+# Length of a pass at low load, used if no streams pass through this process.
 DEFAULT_PASS_SECONDS = 0.05
-# Versions of one process's change, and of the map that voids it, lie in such a block;
-# the place in the block keeps apart processes that take the same block.
+# Size of a block of versions. A block contains the version of one change and the one
+# that replaces it; a random offset distinguishes processes that use the same block.
 VERSION_BLOCK_SIZE = 1000
-# Work between two pauses for other tasks: one step of mending takes about 1 ms.
+# Rebalancing steps between yields to other tasks; a step takes about 1 ms.
 STEPS_PER_YIELD = 4
 
 
 class GroupKeeper:
-    """Keep the groups of one service while this process leads.
+    """Keep the maps of one service's groups balanced while this process is the leader.
 
-    pace tells of the service's streams that pass through this process.
+    pass_timer measures passes from the service's streams through this process.
     """
 
     __slots__ = (
@@ -75,11 +76,11 @@
         self.loop = asyncio.get_running_loop()
 
     def reset(self):
-        """Drop what is known: another process leads, and changes maps."""
+        """Forget all groups, because another process may lead and change their maps."""
         self.finder.reset()
 
     async def check_groups(self):
-        """Look at each group once, and change what is worth it."""
+        """Check each group once, and change its map if that is worthwhile."""
         if self.finder.needs_search():
             await self.finder.search(self.profile)
         for group in list(self.finder.groups.values()):
@@ -87,24 +88,24 @@
                 self.finder.drop(group)
 
     async def check_slowdown(self):
-        """Measure anew where streams have slowed down since the last look."""
+        """Measure the demand of all groups again if streams have slowed down."""
         now = self.loop.time()
         if not self.pass_timer.has_slowed_down(now):
             return
         for group in list(self.finder.groups.values()):
-            settled = now - group.sample.read_at >= SLOWDOWN_HOLDOFF_SECONDS
-            if settled and group.held_step is None:
+            is_due = now - group.sample.read_at >= SLOWDOWN_HOLDOFF_SECONDS
+            if is_due and group.held_step is None:
                 log_event(logger, StreamsSlowedDown(group.name))
                 if not await self.remeasure(group):
                     self.finder.drop(group)
 
-    # Watching
+    # Monitoring
 
     async def check_group(self, group):
-        """Look at one group; False when it must be found anew."""
+        """Check one group; return False if it must be searched again."""
         report = await self.engines.read_report(group.addresses[HOLDING_RANK])
         if report is None:
-            # The engine may be silent for a moment; the group is still the same.
+            # The engine may fail to answer for a moment; the group is still the same.
             return True
         if report.epoch != group.epoch or not report.is_open:
             log_event(logger, GroupBeganAnew(group.name))
@@ -113,27 +114,30 @@
             return await self.recover_abandoned_hold(group, report)
         group.held_step = None
         if group.has_different_map(report):
-            # Plans by the map that was would be refused for ever: they bring ranks
-            # more new experts than these take.
+            # Plans based on the previous map would always be refused, because they
+            # add more new experts to ranks than these accept.
             log_event(logger, GroupHasOtherMap(group.name, report.map_version))
             return False
         if report.step == group.last_seen_step:
-            # An idle group makes no passes: nothing is in demand, and reads are dear.
+            # An idle group makes no passes; it has no demand, and reads are expensive.
             return True
         group.last_seen_step = report.step
         return await self.update_demand(group)
 
     async def update_demand(self, group):
-        """Read counts where it is time to; False when the group must be found anew."""
+        """Read counts if due, and improve the map if that is worthwhile.
+
+        Return False if the group must be searched again.
+        """
         if group.sample.demand.mean_shares is None:
             return await self.remeasure(group)
         now = self.loop.time()
         if now - group.sample.read_at < self.read_interval(group, now):
             return True
-        known = await self.reader.read(group)
+        is_updated = await self.reader.read(group)
         group.sample.has_unexplained_slowdown = False
-        if not known or group.sample.demand.has_shifted:
-            # It moved within the interval, so that this is a mixture of old and new.
+        if not is_updated or group.sample.demand.has_shifted:
+            # Demand shifted within the interval, so the counts mix old and new demand.
             return await self.remeasure(group)
         return await self.improve(group)
 
@@ -147,20 +151,26 @@
         return READ_INTERVAL_WITHOUT_STREAMS_SECONDS
 
     async def remeasure(self, group):
-        """Learn the demand anew and follow it; False when it must be found anew."""
+        """Measure the demand again and improve the map if that is worthwhile.
+
+        Return False if the group must be searched again.
+        """
         if not await self.reader.remeasure(group):
             return True
         planned = await self.plan_improvement(group)
         if planned is None:
-            # The map suits the demand, so that passes are as long as the load makes
-            # them; but demand may have moved while it was measured.
+            # The map suits the demand, so the length of passes is due to load. But
+            # demand may have shifted while it was measured.
             self.pass_timer.set_baseline(self.loop.time())
             group.sample.has_unexplained_slowdown = True
             return True
         return await self.switch_map(group, planned)
 
     async def recover_abandoned_hold(self, group, report):
-        """Settle a hold that its process has left behind."""
+        """Recover a group whose pass another process has held and not released.
+
+        Return False if the group must be searched again.
+        """
         if group.held_step != report.held_step:
             group.held_step = report.held_step
             group.held_since = self.loop.time()
@@ -175,12 +185,12 @@
             return False
         by_rank = dict(zip(ranks, reports, strict=True))
         holding = by_rank[HOLDING_RANK]
-        held = await self.finder.read_map_in_force(
+        expert_map = await self.finder.read_map_in_force(
             group.addresses, holding, self.profile
         )
-        if held is not None:
+        if expert_map is not None:
             await recover_held_group(
-                self.engines, group.addresses, by_rank, to_sorted_lists(held)
+                self.engines, group.addresses, by_rank, to_sorted_lists(expert_map)
             )
         return False
 
@@ -189,34 +199,36 @@
     async def improve(self, group):
         """Switch to a better map if there is one.
 
-        Return False when the group must be found anew.
+        Return False if the group must be searched again.
         """
         planned = await self.plan_improvement(group)
         return planned is None or await self.switch_map(group, planned)
 
     async def plan_improvement(self, group):
-        """Return a map that is worth its copies; None when there is none."""
+        """Return a map that is worth its copies, or None if there is none."""
         loads = group.sample.demand.mean_shares
         min_ratio = min_improvement(self.profile)
-        now = even.skew(group.held, loads)
-        if now < min_ratio:
+        current_skew = even.skew(group.expert_map, loads)
+        if current_skew < min_ratio:
             return None
         planned = await self.plan_map(group, loads)
-        return planned if now / even.skew(planned, loads) >= min_ratio else None
+        return (
+            planned if current_skew / even.skew(planned, loads) >= min_ratio else None
+        )
 
     async def plan_map(self, group, loads):
-        """Return a mended map; other tasks run in between."""
+        """Return a rebalanced map; yields to other tasks between steps."""
         limits = build_map_limits(self.profile, group.ranks)
-        rebalancer = even.MapRebalancer(group.held, loads, limits)
+        rebalancer = even.MapRebalancer(group.expert_map, loads, limits)
         while rebalancer.run_steps(STEPS_PER_YIELD):
             await asyncio.sleep(0)
         return rebalancer.held
 
     async def switch_map(self, group, planned):
-        """Put a planned map in force; False when the group must be found anew.
+        """Put a planned map in force; return False if the group must be searched again.
 
-        A change is given up where ranks refuse its orders: another process may have
-        changed the map, or is about to.
+        The change is abandoned if ranks refuse its orders, because another process may
+        have changed the map or be changing it.
         """
         pass_seconds = (
             self.pass_timer.current_pass_seconds(self.loop.time())
@@ -226,7 +238,7 @@
         result, step = await self.run_change(group, change, planned)
         if result is not SwitchResult.SWITCHED:
             return False
-        group.held = planned
+        group.expert_map = planned
         group.map_version = change.version
         group.map_step = step
         self.pass_timer.ignore_events_until(
@@ -235,27 +247,27 @@
         return True
 
     async def run_change(self, group, change, planned):
-        """Give a change to the ranks and tell of it; return (result, its pass)."""
+        """Carry out and log a change; return (result, pass of the switch)."""
         loads = group.sample.demand.mean_shares
         begun = MapChangeBegun(
             group=group.name,
             version=change.version,
             copy_seconds=round(change.copy_seconds, 3),
             steps_ahead=change.steps_ahead,
-            skew_before=round(even.skew(group.held, loads), 3),
+            skew_before=round(even.skew(group.expert_map, loads), 3),
             skew_after=round(even.skew(planned, loads), 3),
         )
         log_event(logger, begun)
         began = self.loop.time()
         switch = MapSwitch(self.engines, group.addresses, group.epoch, change)
         result = await switch.run()
-        group.version = switch.highest_version
+        group.highest_version = switch.highest_version
         group.sample.read_at = self.loop.time()
         self.log_change_ended(begun, result, switch.step, self.loop.time() - began)
         return result, switch.step
 
     def log_change_ended(self, begun, result, step, seconds):
-        """Count and log the end of a change of which begun told."""
+        """Count and log the end of the change whose begin was logged as begun."""
         self.metrics.map_changes.labels(result.value).inc()
         ended = MapChangeEnded(
             group=begun.group,
@@ -269,28 +281,31 @@
         log_event(logger, ended)
 
     def build_change(self, group, planned, pass_seconds):
-        block = group.version // VERSION_BLOCK_SIZE + 1
-        place = self.random.randrange(VERSION_BLOCK_SIZE - 1)
-        version = block * VERSION_BLOCK_SIZE + place
-        seconds = max_copies_per_rank(group.held, planned) * self.profile.copy_seconds
+        """Return the MapChange from a group's map to a planned one."""
+        block = group.highest_version // VERSION_BLOCK_SIZE + 1
+        offset = self.random.randrange(VERSION_BLOCK_SIZE - 1)
+        version = block * VERSION_BLOCK_SIZE + offset
+        seconds = (
+            max_copies_per_rank(group.expert_map, planned) * self.profile.copy_seconds
+        )
         return MapChange(
             version=version,
             held=to_sorted_lists(planned),
-            previous=to_sorted_lists(group.held),
+            previous=to_sorted_lists(group.expert_map),
             copy_seconds=seconds,
             steps_ahead=steps_ahead(self.profile.report_lag, pass_seconds),
         )
 
 
 def build_keeper(service, engines, presences, pass_timer, metrics, random):
-    """Return the keeper of a service's groups."""
+    """Return the GroupKeeper of a service."""
     finder = GroupFinder(engines, lambda: presences.of_service(service.name))
     profile = service.engine.experts
     return GroupKeeper(engines, finder, profile, pass_timer, metrics, random)
 
 
 def max_copies_per_rank(before, planned):
-    """Return how many experts the rank with most of them has to copy."""
+    """Return the highest number of experts that a rank has to copy."""
     return max(
         sum(
             len(new[rank] - old[rank]) for new, old in zip(planned, before, strict=True)
@@ -299,5 +314,5 @@
     )
 
 
-def to_sorted_lists(held):
-    return [[sorted(experts) for experts in layer] for layer in held]
+def to_sorted_lists(expert_map):
+    return [[sorted(experts) for experts in layer] for layer in expert_map]
--- a/tests/unit/test_group_keeper.py
+++ b/tests/unit/test_group_keeper.py
@@ -1,4 +1,4 @@
-"""Check that the map of a group follows demand, whatever its ranks and leaders do."""
+"""Check that maps are adapted to demand despite failures of ranks and leaders."""
 
 import asyncio
 import random
@@ -18,7 +18,7 @@
 from fescuedrum_gateway.process.metrics import GatewayMetrics
 
 RANKS = 4
-SHORTEST_TIME_BETWEEN_MOVES = 3.4
+MIN_SECONDS_BETWEEN_SHIFTS = 3.4
 EXPERTS = 16
 LAYERS = 2
 PROFILE = ExpertProfile(
@@ -32,7 +32,7 @@
 
 
 def hot_loads(hot):
-    """Return loads in which one of sixteen experts carries half of all."""
+    """Return loads in which one of sixteen experts has half of the load."""
     return [50 if expert == hot else 3 for expert in range(EXPERTS)]
 
 
@@ -56,14 +56,14 @@
 
 
 async def grow(group, ranks, loads=None):
-    """Let the counts of some ranks grow as requests come in."""
+    """Increase the counts of some ranks as requests do."""
     while True:
         await asyncio.sleep(0.05)
         for rank in ranks:
-            grown = (loads or hot_loads(group.hot)) * LAYERS
+            layer_loads = (loads or hot_loads(group.hot)) * LAYERS
             group.counts[rank] = [
-                count + 100 * more
-                for count, more in zip(group.counts[rank], grown, strict=True)
+                count + 100 * load
+                for count, load in zip(group.counts[rank], layer_loads, strict=True)
             ]
 
 
@@ -92,52 +92,52 @@
         await keeper.check_groups()
 
 
-def hosts(group, expert, layer=0):
+def count_hosts(group, expert, layer=0):
     return sum(expert in rank.held[layer] for rank in group.ranks)
 
 
-def test_a_hot_expert_gets_replicas_soon():
+def test_hot_expert_gets_replicas():
     async def story(keeper, group):
         await check_for(keeper, 2.5)
 
     group = play(story)
-    assert hosts(group, 0) > 1
+    assert count_hosts(group, 0) > 1
     assert group.mixed_passes == []
 
 
-def test_demand_is_seen_though_the_first_rank_gets_no_requests():
-    """Every stream is late from when a zone is taken out until it is back.
+def test_demand_is_measured_although_the_first_rank_gets_no_requests():
+    """Guard against streams that are late for as long as a zone is out of service.
 
-    The counts are read at one rank, and that rank's zone is out: it gets no requests,
-    and its counts stand still while demand moves.
+    The counts were read at one rank whose zone was out of service: it got no requests,
+    and its counts did not change when demand shifted.
     """
 
     async def story(keeper, group):
         await check_for(keeper, 4.0)
 
     group = play(story, ranks=(2, 3))
-    assert hosts(group, 0) > 1
+    assert count_hosts(group, 0) > 1
 
 
-def test_a_group_that_begins_anew_gets_a_good_map_again():
+def test_restarted_group_gets_a_balanced_map_again():
     async def story(keeper, group):
         await check_for(keeper, 2.5)
-        assert hosts(group, 0) > 1
+        assert count_hosts(group, 0) > 1
         group.restart()
         held = even.initial_map(EXPERTS, RANKS, LAYERS)
         for number, rank in enumerate(group.ranks):
             rank.held = [sorted(layer[number]) for layer in held]
         await check_for(keeper, 3.0)
-        assert hosts(group, 0) > 1
+        assert count_hosts(group, 0) > 1
 
     assert play(story).mixed_passes == []
 
 
-def test_a_group_that_was_left_held_goes_on():
-    """A group stands still for good.
+def test_group_with_an_abandoned_hold_continues():
+    """Guard against a group that stops forever.
 
-    The process that changed its map froze between holding the pass and releasing it;
-    one rank had been armed already.
+    The process that changed its map froze between holding the pass and releasing it,
+    when one rank had already been armed.
     """
 
     async def story(keeper, group):
@@ -152,13 +152,13 @@
     assert play(story).mixed_passes == []
 
 
-def test_a_move_while_demand_is_measured_is_noticed_soon():
-    """Every stream is late for two seconds more than after another move of demand.
+def test_shift_while_demand_is_measured_is_detected():
+    """Guard against streams that are late for another two seconds after a shift.
 
-    An engine turned slow, and so the counts were read; demand moved between the two
-    reads. The map seemed to suit it, and the long passes were taken for usual ones.
+    An engine became slow, so the counts were read, and demand shifted between the two
+    reads. The map seemed to suit the demand, and the long passes became the baseline.
     """
-    moved_at, followed_at = [], []
+    shifted_at, adapted_at = [], []
 
     async def story(keeper, group):
         await check_for(keeper, 2.5)
@@ -167,57 +167,57 @@
         measuring = asyncio.create_task(keeper.remeasure(group_state))
         await asyncio.sleep(0.24)
         group.hot = 7
-        moved_at.append(loop.time())
+        shifted_at.append(loop.time())
         assert await measuring
-        while hosts(group, 7) == 1:
+        while count_hosts(group, 7) == 1:
             observe_steady_passes(keeper, loop.time())
             await check_for(keeper, 0.25)
-        followed_at.append(loop.time())
+        adapted_at.append(loop.time())
 
     play(story)
-    assert followed_at[0] - moved_at[0] < 1.9
+    assert adapted_at[0] - shifted_at[0] < 1.9
 
 
-def test_a_map_that_never_suited_is_found_before_demand_moves_again():
-    """Every stream is late for nine seconds after all gateways were restarted.
+def test_unsuitable_map_is_detected_before_demand_shifts_again():
+    """Guard against streams that are late for nine seconds after a restart of gateways.
 
-    Passes were slow when the new leader began, so that it takes them for usual.
+    Passes were already slow when the new leader started, so they became its baseline.
     """
-    followed_at = []
+    adapted_at = []
 
     async def story(keeper, group):
         loop = asyncio.get_running_loop()
         observe_steady_passes(keeper, loop.time())
         await check_for(keeper, 2.5)
         group.hot = 7
-        moved_at = loop.time()
-        while hosts(group, 7) == 1:
+        shifted_at = loop.time()
+        while count_hosts(group, 7) == 1:
             observe_steady_passes(keeper, loop.time())
             await check_for(keeper, 0.25)
-        followed_at.append(loop.time() - moved_at)
+        adapted_at.append(loop.time() - shifted_at)
 
     play(story)
-    assert followed_at[0] < SHORTEST_TIME_BETWEEN_MOVES
+    assert adapted_at[0] < MIN_SECONDS_BETWEEN_SHIFTS
 
 
 def observe_steady_passes(keeper, now):
-    """Let the keeper see streams of a steady pace."""
+    """Report passes of constant length to the keeper."""
     for number in range(10):
         keeper.pass_timer.observe(0.05, now - 0.2 + number / 50)
 
 
-def test_a_leader_that_slept_takes_up_the_map_that_is_in_force_now():
-    """Every stream is late for twenty seconds, until the group begins anew by chance.
+def test_resumed_leader_uses_the_map_in_force():
+    """Guard against streams that are late until the group happens to restart.
 
-    A leader's machine sleeps; another gateway leads meanwhile and changes the map. The
-    first wakes, and plans by the map that it left behind: its changes bring a rank more
-    new experts than it takes, and each one is refused.
+    A leader's machine is suspended, and another gateway leads and changes the map. The
+    first one resumes and plans from the old map: its changes add more new experts to a
+    rank than it accepts, and each of them is refused, for twenty seconds.
     """
 
     async def story(keeper, group):
         await check_for(keeper, 2.5)
         before = [[rank.held[layer] for rank in group.ranks] for layer in range(LAYERS)]
-        # All ranks take on the experts of the rank beside them.
+        # Each rank gets the experts of the next rank.
         other = [layer[1:] + layer[:1] for layer in before]
         group.spare = None
         change = MapChange(50_000, other, before, copy_seconds=0.1)
@@ -226,23 +226,23 @@
         group.spare = PROFILE.spare
         group.hot = 7
         await check_for(keeper, 4.0)
-        assert hosts(group, 7) > 1
+        assert count_hosts(group, 7) > 1
 
     assert play(story, {"spare": PROFILE.spare}).mixed_passes == []
 
 
-def test_few_ranks_of_a_large_group_are_read():
-    """Passes that are long already are made longer than the pause by reading counts."""
+def test_only_a_few_ranks_of_a_large_group_are_read():
+    """Guard against reads that make long passes longer than the allowed pause."""
     sample = DemandSample()
-    assert len(sample.ranks(12, counts_per_rank=288)) == 3
-    assert len(sample.ranks(63, counts_per_rank=2016)) == 2
-    assert sample.ranks(1, counts_per_rank=2016) == [0]
+    assert len(sample.ranks_to_read(12, counts_per_rank=288)) == 3
+    assert len(sample.ranks_to_read(63, counts_per_rank=2016)) == 2
+    assert sample.ranks_to_read(1, counts_per_rank=2016) == [0]
 
 
-def test_an_idle_group_is_not_read():
-    """Counts are paid for all night, though nothing is asked for.
+def test_counts_of_an_idle_group_are_not_read():
+    """Guard against expensive reads of counts all night without any requests.
 
-    An idle group makes no passes, and its counts stand still at every rank.
+    An idle group makes no passes, and its counts do not change at any rank.
     """
     reads = []
 
@@ -251,18 +251,18 @@
         keeper = build(group)
         read_counts = group.read_counts
 
-        async def count(address):
+        async def record_read(address):
             reads.append(address)
             return await read_counts(address)
 
-        group.read_counts = count
+        group.read_counts = record_read
         await check_for(keeper, 10.0)
 
     run_paused(run())
     assert len(reads) <= 2
 
 
-def test_an_even_demand_changes_nothing():
+def test_balanced_demand_causes_no_change():
     async def story(keeper, group):
         await check_for(keeper, 3.0)
 
