--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/keeper.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/keeper.py
@@ -315,4 +315,5 @@
 
 
 def to_sorted_lists(expert_map):
+    """Return a map of sets of experts as a map of sorted lists."""
     return [[sorted(experts) for experts in layer] for layer in expert_map]
--- a/packages/fescuedrum/src/fescuedrum/decisions/experts/__init__.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/experts/__init__.py
@@ -1,1 +1,1 @@
-"""Plan which rank holds which expert, and when a new expert map pays for itself."""
+"""Plan which rank holds which expert, and when a new expert map is worthwhile."""
--- a/packages/fescuedrum/src/fescuedrum/decisions/experts/cost.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/experts/cost.py
@@ -56,6 +56,7 @@
 
     @property
     def is_worthwhile(self):
+        """Return whether the change saves more than it costs."""
         return self.net_seconds > 0
 
 
--- a/packages/fescuedrum/src/fescuedrum/decisions/experts/even.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/experts/even.py
@@ -278,6 +278,7 @@
         return time_changes
 
     def add_replica_changes(self, time_changes, expert, rank):
+        """Add the effect of an expert's new host to time_changes."""
         decrease = self.decrease_per_host(expert)
         added = self.loads[expert] / (len(self.hosts[expert]) + 1) / self.mean_load
         for host in self.hosts[expert]:
@@ -285,6 +286,7 @@
         time_changes[rank] = time_changes.get(rank, 0.0) + added
 
     def remove_replica_changes(self, time_changes, expert, rank):
+        """Add the effect of removing an expert's host to time_changes."""
         removed = self.load_per_host(expert) / self.mean_load
         increase = self.increase_per_host(expert)
         for host in self.hosts[expert]:
@@ -299,26 +301,27 @@
         self.max_time = max(self.times)
         match step:
             case Replicate(expert, rank, victim):
-                self.place(expert, rank)
+                self.add_host(expert, rank)
                 if victim is not None:
-                    self.remove(victim, rank)
+                    self.remove_host(victim, rank)
             case Exchange(expert, rank, other_expert, other_rank):
-                self.remove(expert, rank)
-                self.remove(other_expert, other_rank)
-                self.place(expert, other_rank)
-                self.place(other_expert, rank)
+                self.remove_host(expert, rank)
+                self.remove_host(other_expert, other_rank)
+                self.add_host(expert, other_rank)
+                self.add_host(other_expert, rank)
 
-    def place(self, expert, rank):
+    def add_host(self, expert, rank):
         self.held[rank].add(expert)
         self.hosts[expert].add(rank)
-        self.count(expert, rank, 1)
+        self.count_added(expert, rank, 1)
 
-    def remove(self, expert, rank):
+    def remove_host(self, expert, rank):
         self.held[rank].discard(expert)
         self.hosts[expert].discard(rank)
-        self.count(expert, rank, -1)
+        self.count_added(expert, rank, -1)
 
-    def count(self, expert, rank, change):
+    def count_added(self, expert, rank, change):
+        """Update the number of added experts if the expert is new to the rank."""
         if expert not in self.initial_held[rank]:
             self.added_in_layer[rank] += change
             self.added_in_total[rank] += change
--- a/packages/fescuedrum/src/fescuedrum/decisions/experts/forecast.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/experts/forecast.py
@@ -227,10 +227,12 @@
 
 
 def bucket_of(now):
+    """Return the index of the time of day, in steps of BUCKET_SECONDS."""
     return int(now % DAY_SECONDS // BUCKET_SECONDS)
 
 
 def normalise(loads):
+    """Return loads as fractions of their sum, equal ones if the sum is 0."""
     total = sum(loads)
     return [load / total for load in loads] if total else [1 / len(loads)] * len(loads)
 
@@ -244,6 +246,7 @@
 
 
 def weighted_sum(first, second, first_weight, second_weight):
+    """Return the weighted sum of two loads[layer][expert]."""
     return [
         [a * first_weight + b * second_weight for a, b in zip(one, two, strict=True)]
         for one, two in zip(first, second, strict=True)
@@ -251,10 +254,12 @@
 
 
 def blend(old, new, weight):
+    """Return the mean of two loads in which new has the given weight."""
     return weighted_sum(old, new, 1 - weight, weight)
 
 
 def mean_loads(series):
+    """Return the mean of several loads[layer][expert]."""
     total = series[0]
     for each in series[1:]:
         total = weighted_sum(total, each, 1.0, 1.0)
--- a/packages/fescuedrum/src/fescuedrum/decisions/experts/improvement.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/experts/improvement.py
@@ -128,10 +128,10 @@
 
     def make_best_move(self):
         """Make the first moves that help; return the number of fetches, 0 if none."""
-        live = [rank for rank, speed in enumerate(self.speeds) if speed]
-        live.sort(key=self.times.__getitem__)
-        for source_rank in reversed(live[-MAX_SOURCE_RANKS:]):
-            fetches = self.try_source_rank(source_rank, live[:MAX_TARGET_RANKS])
+        live_ranks = [rank for rank, speed in enumerate(self.speeds) if speed]
+        live_ranks.sort(key=self.times.__getitem__)
+        for source_rank in reversed(live_ranks[-MAX_SOURCE_RANKS:]):
+            fetches = self.try_source_rank(source_rank, live_ranks[:MAX_TARGET_RANKS])
             if fetches:
                 return fetches
         return 0
@@ -203,6 +203,7 @@
                     yield from self.exchanges(expert, source_rank, tokens, rank)
 
     def replications(self, expert, rank):
+        """Yield Estimates of the moves that add a replica of an expert to a rank."""
         if len(self.held[rank]) < self.slots[rank]:
             gain = self.replication_gain(expert, rank, 0.0)
             yield Estimate(gain, Replicate(expert, rank, None))
@@ -224,12 +225,16 @@
         hosts = self.layer_map.hosts[expert]
         speed = sum(self.speeds[host] for host in hosts)
         tokens = sum(self.times[host] * self.speeds[host] for host in hosts)
-        here = self.times[rank] * self.speeds[rank] - freed
-        joint = speed + self.speeds[rank]
-        before = tokens * tokens / speed + self.square_term(rank, here + freed)
+        rank_tokens = self.times[rank] * self.speeds[rank] - freed
+        total_speed = speed + self.speeds[rank]
+        before = tokens * tokens / speed + self.square_term(rank, rank_tokens + freed)
         # The replica can't take more tokens than the expert has.
-        taken = min(self.loads[expert], tokens - speed * (tokens + here) / joint)
-        after = (tokens - taken) ** 2 / speed + self.square_term(rank, here + taken)
+        taken = min(
+            self.loads[expert], tokens - speed * (tokens + rank_tokens) / total_speed
+        )
+        after = (tokens - taken) ** 2 / speed + self.square_term(
+            rank, rank_tokens + taken
+        )
         return before - after
 
     def eviction_loss(self, hosts, rank, tokens):
@@ -243,16 +248,19 @@
         )
 
     def exchanges(self, expert, source_rank, tokens, rank):
-        busy = self.times[source_rank] * self.speeds[source_rank]
-        idle = self.times[rank] * self.speeds[rank]
-        before = self.square_term(source_rank, busy) + self.square_term(rank, idle)
+        """Yield Estimates of exchanges of an expert for experts of another rank."""
+        source_tokens = self.times[source_rank] * self.speeds[source_rank]
+        target_tokens = self.times[rank] * self.speeds[rank]
+        before = self.square_term(source_rank, source_tokens) + self.square_term(
+            rank, target_tokens
+        )
         for other_expert, other_tokens in self.held[rank].items():
             if other_expert in self.held[source_rank]:
                 continue
             moved = tokens - other_tokens
-            after = self.square_term(source_rank, busy - moved) + self.square_term(
-                rank, idle + moved
-            )
+            after = self.square_term(
+                source_rank, source_tokens - moved
+            ) + self.square_term(rank, target_tokens + moved)
             gain = (before - after) / 2
             if gain > 0:
                 yield Estimate(gain, Exchange(expert, source_rank, other_expert, rank))
--- a/packages/fescuedrum/src/fescuedrum/decisions/experts/packing.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/experts/packing.py
@@ -33,9 +33,11 @@
         self.cuts_left = sum(slots) - len(loads)
 
     def pop(self, index):
+        """Remove and return the remaining (load, expert) at an index."""
         return self.remaining.pop(index)
 
     def add(self, rank, load, expert):
+        """Place a piece of an expert on a rank."""
         self.placed.setdefault(expert, []).append((rank, load))
 
     def add_pieces(self, rank, slots, room):
@@ -97,26 +99,26 @@
     """
     slots = list(topology.slots[layer])
     pieces = cut_equal_pieces(loads, sum(slots), sum(1 for count in slots if count))
-    waiting = [
+    ranks_by_time = [
         (0.0, -slots[rank], rank)
         for rank in fill_order(topology, topology.slots[layer])
     ]
-    heapq.heapify(waiting)
+    heapq.heapify(ranks_by_time)
     placed = {}
     for load, expert in pieces:
         hosts = {rank for rank, _ in placed.get(expert, ())}
         skipped = []
-        while waiting and waiting[0][-1] in hosts:
-            skipped.append(heapq.heappop(waiting))
-        if waiting:
-            time, _, rank = heapq.heappop(waiting)
+        while ranks_by_time and ranks_by_time[0][-1] in hosts:
+            skipped.append(heapq.heappop(ranks_by_time))
+        if ranks_by_time:
+            time, _, rank = heapq.heappop(ranks_by_time)
             placed.setdefault(expert, []).append((rank, load))
             slots[rank] -= 1
             if slots[rank]:
                 time += load / topology.speeds[rank]
-                heapq.heappush(waiting, (time, -slots[rank], rank))
+                heapq.heappush(ranks_by_time, (time, -slots[rank], rank))
         for each in skipped:
-            heapq.heappush(waiting, each)
+            heapq.heappush(ranks_by_time, each)
     return to_layer_map(placed, loads)
 
 
--- a/packages/fescuedrum/src/fescuedrum/decisions/experts/placement.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/experts/placement.py
@@ -141,10 +141,10 @@
 
 def find_fetches(old, new):
     """Return for each layer the list of (rank, expert) pairs that a new map adds."""
-    found = []
+    additions = []
     for layer, layer_map in enumerate(new.layers):
         before = old.layers[layer].hosts if old else [[]] * len(layer_map.hosts)
-        found.append(
+        additions.append(
             [
                 (rank, expert)
                 for expert, ranks in enumerate(layer_map.hosts)
@@ -152,7 +152,7 @@
                 if rank not in before[expert]
             ]
         )
-    return found
+    return additions
 
 
 def skew_lower_bound(loads, topology):
--- a/packages/fescuedrum/src/fescuedrum/decisions/experts/planner.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/experts/planner.py
@@ -41,7 +41,7 @@
     SHARES = "shares"
     MOVES = "moves"
     PLACEMENT = "placement"
-    # Places experts that are left without a host by a lost rank, whatever the cost.
+    # Removes lost ranks and places all of their experts, regardless of the cost.
     RESTORE = "restore"
 
 
@@ -67,6 +67,7 @@
         self.changes = deque()
 
     def observe(self, loads, now):
+        """Record the loads of the interval that ends now."""
         self.forecaster.observe(loads, now)
 
     def set_speeds(self, speeds):
@@ -125,8 +126,8 @@
     def candidate_maps(self, current, loads):
         """Yield (type, map) of changes, cheapest first, until one is good enough."""
         topology = self.topology
-        now_time = measure(current, loads, topology).max_to_ideal
-        if now_time <= 1 + self.costs.min_saving:
+        current_time = measure(current, loads, topology).max_to_ideal
+        if current_time <= 1 + self.costs.min_saving:
             return
         shares = self.change_layers(current, loads, self.rebalance_shares)
         yield ChangeType.SHARES, shares
@@ -154,17 +155,20 @@
         return ExpertMap(current.number + 1, layers)
 
     def rebalance_shares(self, layer, layer_map, loads):
+        """Return the LayerMap with new shares on the same ranks."""
         changed = layer_map.copy()
         split.balance_shares(changed, loads, self.topology.speeds)
         return changed
 
     def move_experts(self, layer, layer_map, loads, *, target=MOVE_TARGET):
+        """Return the LayerMap after a limited number of moves."""
         slots = self.topology.slots[layer]
         improver = Improver(layer_map.copy(), loads, self.topology.speeds, slots)
         improver.run(target, int(sum(slots) * MAX_FETCHED_FRACTION))
         return improver.layer_map
 
     def replace_placement(self, layer, layer_map, loads):
+        """Return a new LayerMap whose ranks keep most of their experts."""
         fresh = place(loads, self.topology, layer)
         return packing.match_ranks(fresh, layer_map, self.topology, layer)
 
@@ -191,6 +195,7 @@
         )
 
     def restore_layer(self, layer, layer_map, loads):
+        """Return the LayerMap without lost ranks and with all experts placed."""
         kept = remove_lost_ranks(layer_map, self.topology.speeds)
         unplaced = [expert for expert, ranks in enumerate(kept.hosts) if not ranks]
         if not unplaced:
--- a/packages/fescuedrum/src/fescuedrum/decisions/experts/stragglers.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/experts/stragglers.py
@@ -15,7 +15,7 @@
 NORMAL_TOLERANCE = 0.05
 # Speeds are rounded to multiples of this, so that variations alone cause no plan.
 SPEED_STEP = 0.05
-# A slower rank counts as lost, because it delays the group whatever its share.
+# A slower rank counts as lost, because it delays the group even with a small share.
 MIN_SPEED = 0.2
 
 
@@ -52,6 +52,7 @@
 
 
 def round_speed(speed):
+    """Return a speed rounded to SPEED_STEP, 0 if too low, 1 if about normal."""
     if speed < MIN_SPEED:
         return 0.0
     if abs(speed - 1) <= NORMAL_TOLERANCE:
--- a/packages/fescuedrum/src/fescuedrum/groups/__init__.py
+++ b/packages/fescuedrum/src/fescuedrum/groups/__init__.py
@@ -1,1 +1,1 @@
-"""Change a rank group's expert map so that no step ever runs under two maps."""
+"""Change a rank group's expert map so that no step runs with two maps."""
--- a/packages/fescuedrum/src/fescuedrum/groups/arbiter.py
+++ b/packages/fescuedrum/src/fescuedrum/groups/arbiter.py
@@ -150,6 +150,7 @@
         return [ToHolder(self.outcome(self.latest_decided_change()))]
 
     def latest_decided_change(self):
+        """Return the highest number of a decided change, or 0."""
         return max(self.decisions, default=0)
 
     def outcome(self, change):
@@ -169,6 +170,7 @@
         return [self.arm_message(rank) for rank in self.ranks]
 
     def arm_message(self, rank):
+        """Return the effect that asks a rank to arm for the current round."""
         previous = self.decisions.get(self.latest_decided_change())
         return ToRank(rank, Arm(self.epoch, self.round.change, previous))
 
--- a/packages/fescuedrum/src/fescuedrum/groups/engines.py
+++ b/packages/fescuedrum/src/fescuedrum/groups/engines.py
@@ -116,4 +116,6 @@
 
     async def send_order(
         self, address: tuple[str, int], epoch: int, order: Order
-    ) -> OrderResult: ...
+    ) -> OrderResult:
+        """Send an order to a rank in an epoch of its group; return the result."""
+        ...
--- a/packages/fescuedrum/src/fescuedrum/groups/holder.py
+++ b/packages/fescuedrum/src/fescuedrum/groups/holder.py
@@ -90,6 +90,7 @@
         return self.change, [self.load_message(rank) for rank in self.ranks]
 
     def load_message(self, rank):
+        """Return the effect that orders a rank to load the current change."""
         return ToRank(rank, Load(self.change, self.fence, self.base, self.rate))
 
     def handle(self, message):
@@ -119,6 +120,7 @@
         return [ToArbiter(DecisionRequest(self.change, self.fence))]
 
     def record_outcome(self, outcome):
+        """Record how the current change was decided and become idle."""
         self.outcome = outcome
         self.committed += outcome.committed
         self.abandoned += not outcome.committed
--- a/packages/fescuedrum/src/fescuedrum/groups/member.py
+++ b/packages/fescuedrum/src/fescuedrum/groups/member.py
@@ -114,6 +114,7 @@
         return [ToHolder(Loaded(self.rank, change))]
 
     def rank_state(self, arbiter):
+        """Return the answer to an arbiter's Discover."""
         return RankState(
             self.rank,
             self.incarnation,
@@ -166,6 +167,7 @@
         return None
 
     def armed_message(self, change, hold_step, decision):
+        """Return the effect that sends an answer to Arm."""
         return ToArbiter(
             Armed(
                 self.rank,
@@ -209,7 +211,7 @@
         return self.apply_decision(decision)
 
     def apply_decision(self, decision):
-        """Record a decision; order the engine to switch or to go on if it waits."""
+        """Record a decision; order the engine to switch or to continue if it waits."""
         change = decision.change
         if not self.pending_change or change != self.pending_change:
             if not decision.committed and change > self.last_decision.change:
--- a/packages/fescuedrum/src/fescuedrum/groups/switching.py
+++ b/packages/fescuedrum/src/fescuedrum/groups/switching.py
@@ -264,10 +264,10 @@
 
     def __init__(self, engines, addresses, reports, held):
         newest = max(newest_version(report) for report in reports.values())
-        first = reports[HOLDING_RANK]
+        holding_report = reports[HOLDING_RANK]
         change = MapChange(newest, held, held, 0.0)
-        super().__init__(engines, addresses, first.epoch, change)
-        self.step = first.held_step
+        super().__init__(engines, addresses, holding_report.epoch, change)
+        self.step = holding_report.held_step
         self.reports = reports
 
     def version_to_disarm(self, rank):
@@ -288,8 +288,8 @@
     ranks are disarmed, and orders to arm that are still in transit are invalidated.
     held is the map in force.
     """
-    first = reports[HOLDING_RANK]
-    log_event(logger, HeldGroupSettled(first.held_step))
+    holding_report = reports[HOLDING_RANK]
+    log_event(logger, HeldGroupSettled(holding_report.held_step))
     switch = AbandonedSwitch(engines, addresses, reports, held)
     if all(report.armed_version is not None for report in reports.values()):
         return await switch.release_pass(SwitchResult.SWITCHED)
@@ -303,4 +303,5 @@
 
 
 def all_accepted(results):
+    """Return whether all orders were accepted, given the results by rank."""
     return all(result is OrderResult.ACCEPTED for result in results.values())
--- a/tests/unit/test_even_maps.py
+++ b/tests/unit/test_even_maps.py
@@ -25,12 +25,14 @@
 
 
 def rebalance(held, loads, limits=LIMITS):
+    """Return the rebalanced map of one layer."""
     rebalancer = even.MapRebalancer([held], [loads], limits)
     rebalancer.run()
     return rebalancer.held[0]
 
 
 def copies(before, after):
+    """Return the number of experts added to each rank."""
     return [len(new - old) for new, old in zip(after, before, strict=True)]
 
 
@@ -207,6 +209,7 @@
 
 
 def count_copies(rebalancer, step):
+    """Return the copies of a step, at least the cost of one without copies."""
     match step:
         case even.Replicate(expert, rank):
             taken = ((expert, rank),)
--- a/tests/unit/test_group_keeper.py
+++ b/tests/unit/test_group_keeper.py
@@ -37,6 +37,7 @@
 
 
 def build(group):
+    """Return a keeper of the group's service."""
     service = RoutedService("advice", engine=EngineProfile(6, experts=PROFILE))
     presences = EndpointPresence()
     for rank in range(RANKS):
@@ -68,6 +69,8 @@
 
 
 def play(story, group_faults=None, ranks=range(RANKS)):
+    """Run story(keeper, group) while passes run and counts grow; return the group."""
+
     async def run():
         group = build_group(**group_faults or {})
         keeper = build(group)
@@ -85,6 +88,7 @@
 
 
 async def check_for(keeper, seconds):
+    """Let the keeper check its groups periodically for some seconds."""
     loop = asyncio.get_running_loop()
     until = loop.time() + seconds
     while loop.time() < until:
@@ -93,6 +97,7 @@
 
 
 def count_hosts(group, expert, layer=0):
+    """Return the number of ranks that hold an expert."""
     return sum(expert in rank.held[layer] for rank in group.ranks)
 
 
--- a/tests/unit/test_switching.py
+++ b/tests/unit/test_switching.py
@@ -1,4 +1,4 @@
-"""Check that no pass runs with two maps, whatever happens to the orders."""
+"""Check that no pass runs with two maps although orders are lost or late."""
 
 import asyncio
 import random
@@ -29,6 +29,7 @@
 
 
 def build_held(shift=0):
+    """Return the initial map with each rank's experts moved by shift ranks."""
     held = initial_map(EXPERTS, RANKS, 2)
     moved = [layer[shift:] + layer[:shift] for layer in held]
     return [[sorted(experts) for experts in layer] for layer in moved]
