--- a/packages/fescuedrum/src/fescuedrum/decisions/__init__.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Decide under load; nothing in this package imports I/O."""
+"""Decisions under load, such as admission and routing, free of I/O."""
--- a/packages/fescuedrum/src/fescuedrum/decisions/allowances.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/allowances.py
@@ -1,24 +1,25 @@
-"""Keep each organisation within the limits that operators have set for it.
+"""Enforce the usage limits that operators have set for each organisation.
 
-Load pattern: a caller's program runs wild, or an organisation outgrows what was agreed.
-Fair queueing keeps it from taking others' share, but what is free it may take, and an
-operator who has sold a bound wants the bound. Without it a quiet hour raises
-expectations that a busy one disappoints.
+Load pattern: a client program sends requests in an endless loop, or an organisation
+outgrows the agreed volume. Fair queueing protects the shares of others, but lets the
+organisation use all idle capacity. An operator who has sold a limit wants the limit
+itself: otherwise callers get used to a speed in quiet hours that busy hours can't give.
 
-The limits are for the whole fleet. No entry asks another: the balancer spreads callers
-evenly, so each of n entries grants an n-th part.
+The limits apply to the whole fleet. Entries don't coordinate: the balancer spreads
+callers evenly, so each of n entries grants 1/n of a limit.
 """
 
 from dataclasses import dataclass
 
 BURST_SECONDS = 5.0
-SMALLEST_BURST = 1.0
+MINIMUM_BURST = 1.0
 
 
 class Bucket:
-    """Grant amounts at a sustained rate, with a burst saved up while nothing is asked.
+    """Token bucket: grants amounts at a sustained rate, with a limited burst.
 
-    An amount above the burst is granted when the bucket is full, and leaves a debt.
+    An amount above the burst is granted when the bucket is full, and makes the level
+    negative.
     """
 
     __slots__ = ("filled_at", "level")
@@ -28,27 +29,28 @@
         self.filled_at = now
 
     def wait_for(self, amount, rate, now):
-        """Return the seconds until an amount would be granted; 0 grants it."""
-        burst = max(rate * BURST_SECONDS, SMALLEST_BURST)
+        """Refill the bucket; return the seconds until an amount fits, 0 if it does."""
+        burst = max(rate * BURST_SECONDS, MINIMUM_BURST)
         level = burst if self.level is None else self.level
         self.level = min(level + rate * (now - self.filled_at), burst)
         self.filled_at = now
         return max(min(amount, burst) - self.level, 0.0) / rate
 
     def take(self, amount):
+        """Take a granted amount."""
         self.level -= amount
 
 
 @dataclass(slots=True, frozen=True)
 class Exceeded:
-    """Say which limit is reached and after how many seconds to ask again."""
+    """An exceeded limit: its setting's name, and the seconds until a retry may fit."""
 
     limit: str
     seconds: float
 
 
 class Usage:
-    """Hold what one organisation uses at one entry."""
+    """Requests, tokens and running requests of one organisation at one entry."""
 
     __slots__ = ("requests", "running", "tokens")
 
@@ -59,7 +61,7 @@
 
 
 class OrganisationUsage:
-    """Hold what every organisation uses at one entry; times are loop time."""
+    """Usage of every organisation at one entry; times are loop time."""
 
     __slots__ = ("usages",)
 
@@ -67,11 +69,11 @@
         self.usages = {}
 
     def start_request(self, name, limits, tokens, entries, now):
-        """Count a request and return None, or return the limit that it exceeds."""
+        """Count a request as running, or return the limit that it exceeds."""
         usage = self.usages.get(name)
         if usage is None:
             usage = self.usages[name] = Usage(now)
-        if exceeded := judge(usage, limits, tokens, entries, now):
+        if exceeded := find_exceeded(usage, limits, tokens, entries, now):
             return exceeded
         usage.running += 1
         if limits.requests_per_second is not None:
@@ -81,14 +83,15 @@
         return None
 
     def end_request(self, name):
-        """Count the end of a request that entered."""
+        """Count the end of a request that was counted as running."""
         self.usages[name].running -= 1
 
 
-def judge(usage, limits, tokens, entries, now):
+def find_exceeded(usage, limits, tokens, entries, now):
+    """Return the first limit that a request would exceed, or None."""
     if limits.concurrent_requests is not None:
-        granted = max(-(-limits.concurrent_requests // entries), 1)
-        if usage.running >= granted:
+        allowed = max(-(-limits.concurrent_requests // entries), 1)
+        if usage.running >= allowed:
             return Exceeded("concurrent_requests", 1.0)
     for name, bucket, amount in (
         ("requests_per_second", usage.requests, 1.0),
--- a/packages/fescuedrum/src/fescuedrum/decisions/coldness.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/coldness.py
@@ -1,20 +1,23 @@
-"""Bound what a cold endpoint gets in a second.
+"""Limit the requests per second that a cold endpoint receives.
 
-Load pattern: an engine starts anew, or loses its caches, and every gateway sees that it
-is the least loaded. It fails under what all of them send it within the same second. No
-list tells in time that an endpoint has turned cold, so each gateway keeps to its part
-of the bound (fescuedrum.decisions.shares) for every endpoint and at all times.
+Load pattern: an engine restarts or loses its caches, and every gateway sees it as the
+least loaded. It fails under the requests that all of them send within the same second.
+No list shows soon enough that an endpoint has become cold, so each gateway keeps to its
+share of the limit (fescuedrum.decisions.shares) for every endpoint at all times.
 """
 
 WINDOW_SECONDS = 1.0
-# What is sent within one second may arrive within another one.
-SAFE_PART = 0.8
+# Requests sent within two different seconds may arrive within the same one.
+SAFETY_FACTOR = 0.8
 
 
 def cold_request_limit(
     cold_per_second: float, factor: float, slack: float
 ) -> int | None:
-    """Return what all may send one endpoint in a second; None without a bound."""
+    """Return how many requests all gateways together may send one endpoint per second.
+
+    Return None if cold_per_second sets no limit.
+    """
     if cold_per_second <= 0:
         return None
-    return max(int(SAFE_PART * (cold_per_second * factor + slack)), 1)
+    return max(int(SAFETY_FACTOR * (cold_per_second * factor + slack)), 1)
--- a/packages/fescuedrum/src/fescuedrum/decisions/comparison.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/comparison.py
@@ -1,7 +1,7 @@
-"""Compare what one organisation received in an interval with what its peers did.
+"""Compare one organisation's service in an interval with that of its peers.
 
-Load pattern, measures and the grounds for all figures stand in `fairness`, which adds
-up what single intervals say here.
+The load pattern, the measures and the reasons for the figures are described in
+`fairness`, which accumulates the evidence of single intervals.
 """
 
 import bisect
@@ -10,22 +10,22 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-HARM = 2.0
-LINE = 0.75
+HARM_FACTOR = 2.0
+USUAL_QUANTILE = 0.75
 MINIMUM_PEERS = 30
 MINIMUM_REQUESTS = 5
-MAXIMUM_BIT_RATE = 0.95
-ALIKE_EXCESS = 1.25
-PLACE_SHARE = 0.4
-PLACE_LIFT = 1.5
-PEER_SAMPLE = 200
+MAXIMUM_HARMED_RATE = 0.95
+COMPARABLE_EXCESS_RATIO = 1.25
+COMMON_PLACE_SHARE = 0.4
+COMMON_PLACE_LIFT = 1.5
+PEER_SAMPLE_SIZE = 200
 SIZE_STEPS = (8, 32, 128, 512, 2048, 8192)
-# A yes or no has no quartile: yes is worse.
-BETWEEN_NO_AND_YES = 0.5
+# The usual value of measures that are 0 or 1, which have no quartile; 1 is worse.
+BINARY_THRESHOLD = 0.5
 
 
 class Measure(enum.StrEnum):
-    """Name what is compared, and so what a finding is about."""
+    """Measures that are compared, each of them the subject of its findings."""
 
     WAIT = "wait"
     FIRST_TOKEN = "first-token"
@@ -35,18 +35,18 @@
     REPEATED = "repeated"
 
 
-BINARY = frozenset((Measure.REFUSED, Measure.COLD, Measure.REPEATED))
-OF_DEMAND = frozenset((Measure.WAIT, Measure.REFUSED))
+BINARY_MEASURES = frozenset((Measure.REFUSED, Measure.COLD, Measure.REPEATED))
+DEMAND_MEASURES = frozenset((Measure.WAIT, Measure.REFUSED))
 
 
 @dataclass(slots=True, frozen=True)
 class Observation:
-    """Hold what one request received; times in seconds."""
+    """Outcome of one request; times in seconds."""
 
     organisation: str
     service: str
     rank: int
-    # Cost asked for, and received when it was answered.
+    # Cost requested; also the cost received if the request was answered.
     cost: float
     answered: bool
     refused: bool = False
@@ -62,14 +62,14 @@
 
     @property
     def group(self):
-        """Return what makes requests comparable."""
+        """Return the key shared by comparable requests."""
         size = bisect.bisect(SIZE_STEPS, self.cost)
         return (self.service, self.rank, size, self.streamed)
 
 
 @dataclass(slots=True)
 class Account:
-    """Hold what an organisation was entitled to and received."""
+    """Totals of what an organisation requested, was entitled to and received."""
 
     weight: float = 1.0
     requests: int = 0
@@ -86,6 +86,7 @@
     by_zone: dict[str, int] = field(default_factory=dict)
 
     def add(self, observation):
+        """Add one request's outcome to the totals."""
         self.requests += 1
         self.asked += observation.cost
         self.refused += observation.refused
@@ -103,7 +104,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Comparison:
-    """Hold one organisation's interval beside its peers'."""
+    """Result of comparing one organisation with its peers in one interval."""
 
     log_ratio: float
     own: float
@@ -112,12 +113,12 @@
 
 
 class Interval:
-    """Hold the observations of one interval, grouped for comparison."""
+    """Observations of one interval, grouped for comparison."""
 
     __slots__ = ("asked", "entitled", "excess", "groups", "samples")
 
     def __init__(self, observations, accounts, recent=()):
-        # Group to organisation to its observations.
+        # Group key to organisation to observations.
         self.groups = {}
         self.samples = {}
         self.asked = {}
@@ -126,15 +127,18 @@
             group.setdefault(each.organisation, []).append(each)
             asked = self.asked.get(each.organisation, 0.0)
             self.asked[each.organisation] = asked + each.cost
-        self.entitled = self.find_entitled(observations, accounts)
-        self.excess = self.find_excess(accounts, [*recent, self.asked])
+        self.entitled = self.compute_entitled(observations, accounts)
+        self.excess = self.compute_excess(accounts, [*recent, self.asked])
 
     @property
     def organisations(self):
         return list(self.asked)
 
-    def find_entitled(self, observations, accounts):
-        """Return the cost each was entitled to; with nothing refused, what it asked."""
+    def compute_entitled(self, observations, accounts):
+        """Return the cost that each organisation was entitled to.
+
+        If nothing was refused, that is what it requested.
+        """
         if not any(each.refused for each in observations):
             return dict(self.asked)
         served = sum(each.cost for each in observations if each.answered)
@@ -143,11 +147,11 @@
         }
         return water_fill(self.asked, weights, served)
 
-    def find_excess(self, accounts, recent):
-        """Return the multiple of its share that each asked for lately, at least 1.
+    def compute_excess(self, accounts, recent):
+        """Return the multiple of its share that each recently requested, at least 1.
 
-        What was asked an interval ago still waits, or was served early and is being
-        made up for, so that one interval alone does not tell equal demand.
+        Requests of an earlier interval may still wait, or may have been served early at
+        the cost of later ones, so one interval alone doesn't show equal demand.
         """
         asked = {
             name: sum(demand.get(name, 0.0) for demand in recent) for name in self.asked
@@ -162,48 +166,53 @@
         }
 
     def compare(self, organisation, measure):
-        """Compare an organisation with its peers; None without enough to compare."""
-        tally = Tally(measure)
-        of_demand = measure in OF_DEMAND
+        """Return the comparison with the peers, or None without enough observations."""
+        tally = LikelihoodTally(measure)
+        is_demand_measure = measure in DEMAND_MEASURES
         for key, group in self.groups.items():
             mine = group.get(organisation, ())
             if len(mine) >= MINIMUM_REQUESTS:
-                tally.add(mine, self.peers(organisation, of_demand, key))
+                tally.add(mine, self.peers(organisation, is_demand_measure, key))
         return tally.comparison()
 
-    def peers(self, organisation, of_demand, key):
-        """Return a sample of the peers' observations, drawn once for all measures."""
-        sample = (organisation, of_demand, key)
-        if sample not in self.samples:
-            self.samples[sample] = self.draw_peers(organisation, of_demand, key)
-        return self.samples[sample]
-
-    def draw_peers(self, organisation, of_demand, key):
-        """Return as many observations of each peer."""
+    def peers(self, organisation, is_demand_measure, key):
+        """Return a sample of the peers' observations, cached for all measures."""
+        sample_key = (organisation, is_demand_measure, key)
+        if sample_key not in self.samples:
+            self.samples[sample_key] = self.draw_peers(
+                organisation, is_demand_measure, key
+            )
+        return self.samples[sample_key]
+
+    def draw_peers(self, organisation, is_demand_measure, key):
+        """Return observations of the peers, at most the same number of each."""
         group = self.groups[key]
         names = [
             name
             for name in group
             if name != organisation
-            and not (of_demand and self.differ_in_demand(organisation, name))
+            and not (is_demand_measure and self.is_demand_different(organisation, name))
         ]
-        each = -(-PEER_SAMPLE // max(len(names), 1))
+        each = -(-PEER_SAMPLE_SIZE // max(len(names), 1))
         return [
-            observation for name in names for observation in spread(group[name], each)
+            observation
+            for name in names
+            for observation in sample_evenly(group[name], each)
         ]
 
-    def differ_in_demand(self, first, second):
+    def is_demand_different(self, first, second):
+        """Return whether two organisations' demands are too different to compare."""
         ratio = self.excess[first] / self.excess[second]
-        return not 1 / ALIKE_EXCESS <= ratio <= ALIKE_EXCESS
+        return not 1 / COMPARABLE_EXCESS_RATIO <= ratio <= COMPARABLE_EXCESS_RATIO
 
 
-def spread(values, count):
-    """Return about this many of the values, spread over all of them."""
+def sample_evenly(values, count):
+    """Return at most count values, evenly spaced over all of them."""
     return values[:: len(values) // count + 1]
 
 
-class Tally:
-    """Sum the log-likelihood of an organisation's bits over groups."""
+class LikelihoodTally:
+    """Sum of the log-likelihood ratio of an organisation's bits over groups."""
 
     __slots__ = (
         "count",
@@ -227,16 +236,16 @@
         self.seen = []
 
     def add(self, mine, peers):
-        """Add one group's observations."""
+        """Add the organisation's and its peers' observations in one group."""
         pairs = [(each, value_of(each, self.measure)) for each in mine]
         pairs = [(each, value) for each, value in pairs if value is not None]
         values = [value_of(each, self.measure) for each in peers]
         values = sorted(value for value in values if value is not None)
         if len(values) < MINIMUM_PEERS or len(pairs) < MINIMUM_REQUESTS:
             return
-        line = self.line(values)
-        worse = [each for each, value in pairs if value > line]
-        self.add_bits(len(worse), len(pairs), values, line)
+        threshold = self.threshold(values)
+        worse = [each for each, value in pairs if value > threshold]
+        self.add_bits(len(worse), len(pairs), values, threshold)
         self.count += len(pairs)
         self.own += sum(value for _, value in pairs)
         self.peers += sum(values)
@@ -244,32 +253,38 @@
         self.worse += worse
         self.seen += mine
 
-    def line(self, values):
-        if self.measure in BINARY:
-            return BETWEEN_NO_AND_YES
-        return values[int(len(values) * LINE)]
-
-    def add_bits(self, worse, count, values, line):
-        above = len(values) - bisect.bisect_right(values, line)
-        # One more than was seen: a few peers must not make a rare bit look impossible.
-        usual = min((above + 1) / (len(values) + 1), MAXIMUM_BIT_RATE / HARM)
-        harmed = usual * HARM
-        self.log_ratio += worse * math.log(harmed / usual)
-        self.log_ratio += (count - worse) * math.log((1 - harmed) / (1 - usual))
+    def threshold(self, values):
+        """Return the value above which an observation is worse than usual."""
+        if self.measure in BINARY_MEASURES:
+            return BINARY_THRESHOLD
+        return values[int(len(values) * USUAL_QUANTILE)]
+
+    def add_bits(self, worse, count, values, threshold):
+        """Add the log-likelihood ratio of this many worse bits out of count."""
+        above = len(values) - bisect.bisect_right(values, threshold)
+        # Add-one smoothing: with few peers, a rare bit must not look impossible.
+        usual = min((above + 1) / (len(values) + 1), MAXIMUM_HARMED_RATE / HARM_FACTOR)
+        harmed_rate = usual * HARM_FACTOR
+        self.log_ratio += worse * math.log(harmed_rate / usual)
+        self.log_ratio += (count - worse) * math.log((1 - harmed_rate) / (1 - usual))
 
     def comparison(self):
+        """Return the comparison over all groups added, or None if there were none."""
         if not self.count:
             return None
         return Comparison(
             self.log_ratio,
             self.own / self.count,
             self.peers / self.peers_count,
-            common_place(self.worse, self.seen),
+            find_common_place(self.worse, self.seen),
         )
 
 
 def value_of(observation, measure):
-    """Return what is compared: higher is worse; None where it says nothing."""
+    """Return an observation's value of a measure; higher is worse.
+
+    Return None if the measure doesn't apply to the observation.
+    """
     match measure:
         case Measure.REFUSED:
             return float(observation.refused)
@@ -288,35 +303,40 @@
             return float(observation.cold)
 
 
-def common_place(worse, seen):
-    """Return the endpoint or zone at which worse answers gather, or an empty text."""
-    for kind in ("endpoint", "zone"):
-        among_worse = Counter(getattr(each, kind) for each in worse)
-        among_all = Counter(getattr(each, kind) for each in seen)
+def find_common_place(worse, seen):
+    """Return the endpoint or zone where worse answers concentrate, or an empty text."""
+    for place_kind in ("endpoint", "zone"):
+        among_worse = Counter(getattr(each, place_kind) for each in worse)
+        among_all = Counter(getattr(each, place_kind) for each in seen)
         for name, count in among_worse.most_common(1):
             share = count / len(worse)
             usual = among_all[name] / len(seen)
-            if name and share >= max(PLACE_SHARE, PLACE_LIFT * usual):
-                return f"{kind} {name}"
+            if name and share >= max(COMMON_PLACE_SHARE, COMMON_PLACE_LIFT * usual):
+                return f"{place_kind} {name}"
     return ""
 
 
 def water_fill(asked, weights, capacity):
-    """Share a capacity by weight; nobody gets more than asked, the rest goes on."""
+    """Return each share of a capacity by weighted max-min fairness (water-filling).
+
+    None gets more than it asked for; the remainder is shared among the others.
+    """
     granted = {}
     left = dict(asked)
     while left:
         total = sum(weights.get(name, 1.0) for name in left)
-        level = capacity / total if total else 0.0
-        fits = {
+        share_per_weight = capacity / total if total else 0.0
+        satisfied = {
             name: cost
             for name, cost in left.items()
-            if cost <= level * weights.get(name, 1.0)
+            if cost <= share_per_weight * weights.get(name, 1.0)
         }
-        if not fits:
-            granted |= {name: level * weights.get(name, 1.0) for name in left}
+        if not satisfied:
+            granted |= {
+                name: share_per_weight * weights.get(name, 1.0) for name in left
+            }
             break
-        for name, cost in fits.items():
+        for name, cost in satisfied.items():
             granted[name] = cost
             capacity -= cost
             del left[name]
--- a/packages/fescuedrum/src/fescuedrum/decisions/digests.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/digests.py
@@ -1,27 +1,28 @@
-"""Sum up a zone for the others, and keep what they sum up.
+"""Summarise a zone for the other zones, and keep the newest summary of each.
 
-Load pattern: every zone wants to know how much others can carry when it is full or a
-zone leaves. Telling each member of each zone would grow with the fleet twice over; a
-digest has a few numbers for each service, whatever the number of endpoints. They come
-less often the more zones there are: every entry hears one of each zone, twice.
+Load pattern: every zone needs to know the spare capacity of the others when it is full
+or a zone goes out. Sending each member's state to each zone would grow with the square
+of the fleet; a digest has a few numbers per service, whatever the number of endpoints.
+Digests are sent less often the more zones there are, as every entry receives the digest
+of each zone twice.
 
-A digest is old by the time it arrives. It carries its age, added up on the way, so that
-no clocks are compared, and one that is older than a few intervals counts for nothing: a
-zone that is cut off must not be taken for one with room.
+A digest is already old when it arrives. It carries its age, accumulated on the way, so
+that no clocks of two hosts are compared. A digest older than a few intervals is
+ignored: a zone that is cut off must not be taken for one with spare capacity.
 """
 
 from dataclasses import dataclass, field
 
 SHORTEST_INTERVAL_SECONDS = 3.0
-# 19 zones make it 9.5 s: 1.1 KB a second sent by each entry of a zone of 20.
+# With 19 zones the interval is 9.5 s, and each entry of a zone of 20 sends 1.1 KB/s.
 ZONES_PER_SECOND = 2.0
-# Two of three may be lost; the rest is for the way.
+# Two of three digests may be lost; the remainder covers the transmission delay.
 EXPIRY_INTERVALS = 3.4
 
 
 @dataclass(slots=True)
 class ServiceSum:
-    """Sum up the endpoints of one service in one zone."""
+    """Totals over the endpoints of one service in one zone."""
 
     service: str
     endpoints: int = 0
@@ -31,13 +32,13 @@
 
     @property
     def left(self):
-        """Return how many more requests the endpoints can carry now."""
+        """Return how many more requests the endpoints can run now."""
         return max(self.limit - self.running, 0)
 
 
 @dataclass(slots=True)
 class ZoneSum:
-    """Sum up one zone as one of its entries sees it."""
+    """Summary of one zone as seen by one of its entries."""
 
     zone: str
     version: int = 0
@@ -49,14 +50,17 @@
 
 
 def digest_interval(zones):
-    """Return the seconds between two digests with so many zones."""
+    """Return the seconds between two digests for this number of zones."""
     return max(SHORTEST_INTERVAL_SECONDS, zones / ZONES_PER_SECOND)
 
 
 def summarise_zone(zone, members, loads, version):
-    """Sum up a zone from its members and (service, load report) of its endpoints."""
+    """Return the summary of a zone.
+
+    loads are the (service, load report) pairs of the zone's endpoints.
+    """
     alive = [member for member in members if not member.silent]
-    total = ZoneSum(
+    summary = ZoneSum(
         zone,
         version=version,
         lowest_version=min([version, *(member.version for member in alive)]),
@@ -65,16 +69,16 @@
         silent=sum(member.silent for member in members),
     )
     for service, load in loads:
-        line = total.services.setdefault(service, ServiceSum(service))
-        line.endpoints += 1
-        line.warm += bool(load.warm)
-        line.limit += load.limit or 0
-        line.running += load.running or 0
-    return total
+        service_sum = summary.services.setdefault(service, ServiceSum(service))
+        service_sum.endpoints += 1
+        service_sum.warm += bool(load.warm)
+        service_sum.limit += load.limit or 0
+        service_sum.running += load.running or 0
+    return summary
 
 
 class ZoneDigests:
-    """Keep the newest digest of each other zone."""
+    """The newest digest of each other zone; times are loop time in seconds."""
 
     __slots__ = ("made_at", "sums")
 
@@ -83,7 +87,7 @@
         self.made_at = {}
 
     def take(self, zone_sum, age, now):
-        """Keep a digest if it is newer than the one held; tell whether it is."""
+        """Keep a digest if it is newer than the one held; return whether it is."""
         made_at = now - age
         if made_at <= self.made_at.get(zone_sum.zone, float("-inf")):
             return False
@@ -92,7 +96,7 @@
         return True
 
     def current(self, now):
-        """Return (digest, age in seconds) of each zone heard of lately."""
+        """Return (digest, age in seconds) of each zone whose digest has not expired."""
         expiry = EXPIRY_INTERVALS * digest_interval(len(self.sums) + 1)
         return [
             (zone_sum, now - self.made_at[zone])
--- a/packages/fescuedrum/src/fescuedrum/decisions/fairness.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/fairness.py
@@ -1,23 +1,25 @@
-"""Find out when one organisation is served worse than its peers.
-
-Load pattern: an organisation's work goes, by a rule, a placement or a fault, to what
-serves it worse: a slow zone, cold endpoints, a queue that passes it over. Averages over
-all look well, nobody is refused outright, and the organisation leaves before anyone
-has noticed. This once happened; so each organisation is compared with its peers.
-
-What is compared. Each request counts as one bit for each measure: was it worse than
-what is usual among the peers for the same service, class and size of request? "Usual"
-is the peers' upper quartile in the same interval, each peer organisation counting
-alike. On equal demand an organisation that is treated alike is above that line as often
-as its peers, whatever the load is and however the measure is distributed. Whoever asks
-for more than its share is meant to wait and to be refused; so waits and refusals are
-compared only among those who ask for about the same multiple of their share.
-
-Chance. For each organisation and measure a sequential probability-ratio test adds, from
-interval to interval, the log-likelihood of the bits under "worse by HARM" against
-"alike", never below zero, and a finding is raised at a threshold that grows with the
-number of comparisons. So the rate of false findings holds over all organisations and
-measures, however often one looks.
+"""Detect when one organisation is served worse than its peers.
+
+Load pattern: a rule, a placement or a fault sends an organisation's work to endpoints
+that serve it worse: in a slow zone, cold ones, or behind a queue that neglects it.
+Averages over all organisations look normal, no request is refused outright, and the
+organisation stops using the service before anyone notices. This has happened, so each
+organisation is compared with its peers.
+
+What is compared: each request gives one bit per measure, whether it was worse than
+usual among the peers for the same service, class and size of request. The usual value
+is the peers' upper quartile in the same interval, with equal weight for each peer
+organisation. With equal demand and treatment, an organisation exceeds it as often as
+its peers, whatever the load and the distribution of the measure. An organisation that
+asks for more than its share is expected to wait and to be refused, so waits and
+refusals are compared only among organisations that ask for about the same multiple of
+their share.
+
+Significance: for each organisation and measure, a sequential probability-ratio test
+adds up the log-likelihood ratio of the bits under "worse by HARM_FACTOR" against
+"alike" over the intervals, never below zero. A finding is raised at a threshold that
+grows with the number of comparisons, so that the rate of false findings holds over all
+organisations and measures, however often they are compared.
 """
 
 import enum
@@ -25,17 +27,17 @@
 from collections import deque
 from dataclasses import dataclass
 
-from fescuedrum.decisions.comparison import OF_DEMAND, Account, Interval, Measure
+from fescuedrum.decisions.comparison import DEMAND_MEASURES, Account, Interval, Measure
 
-LEVEL = 1e-4
-CLEAR_INTERVALS = 5
-INTERVAL_EVIDENCE = 2.0
-DEMAND_EVIDENCE = 0.7
+SIGNIFICANCE_LEVEL = 1e-4
+CLEARING_INTERVALS = 5
+MAXIMUM_INTERVAL_EVIDENCE = 2.0
+MAXIMUM_DEMAND_EVIDENCE = 0.7
 DEMAND_INTERVALS = 6
 
 
 class Decision(enum.StrEnum):
-    """Name the decision through which an organisation came to be treated worse."""
+    """Decisions that can cause an organisation to be served worse."""
 
     QUEUE = "queue"
     ROUTING = "routing"
@@ -55,16 +57,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Finding:
-    """Say who is served worse, in what, by how much and through which decision."""
+    """An organisation served worse: the measure, by how much and the likely cause."""
 
     id: str
     organisation: str
     measure: Measure
-    # Mean of the organisation and of its peers: seconds, or shares of requests.
+    # Means of the organisation and of its peers, in seconds or as shares of requests.
     own: float
     peers: float
     decision: Decision
-    # What most of the worse answers have in common, where there is such.
+    # Endpoint or zone that most of the worse answers have in common; may be empty.
     common: str
     since: float
 
@@ -79,7 +81,7 @@
 
 @dataclass(slots=True)
 class Evidence:
-    """Hold the sequential test of one organisation and measure."""
+    """State of the sequential test for one organisation and measure."""
 
     weight: float = 0.0
     alike_intervals: int = 0
@@ -87,7 +89,7 @@
 
 
 class FairnessMonitor:
-    """Compare organisations from interval to interval; now is loop time in seconds."""
+    """Compare organisations over successive intervals; times are loop time."""
 
     __slots__ = ("accounts", "evidence", "observations", "recent")
 
@@ -95,30 +97,30 @@
         self.accounts = {}
         self.evidence = {}
         self.observations = []
-        # What each organisation asked for in the last intervals.
+        # Cost that each organisation requested in each of the last intervals.
         self.recent = deque(maxlen=DEMAND_INTERVALS)
 
     def observe(self, observation):
-        """Take what a request received."""
+        """Add the outcome of one request to the current interval."""
         account = self.accounts.setdefault(observation.organisation, Account())
         account.add(observation)
         self.observations.append(observation)
 
     def set_weights(self, weights):
-        """Take the organisations' weights; forget those that are gone."""
+        """Set the organisations' weights; remove the accounts of all others."""
         for name, weight in weights.items():
             self.accounts.setdefault(name, Account()).weight = weight
         for name in set(self.accounts) - set(weights):
             del self.accounts[name]
 
     def findings(self):
-        """Return what stands now, the strongest first."""
+        """Return the current findings, those with the strongest evidence first."""
         raised = [each for each in self.evidence.values() if each.finding]
         raised.sort(key=lambda each: -each.weight)
         return [each.finding for each in raised]
 
     def close_interval(self):
-        """Return what was observed since the last call, ready to be judged."""
+        """Return the observations since the last call as an interval to evaluate."""
         observations, self.observations = self.observations, []
         interval = Interval(observations, self.accounts, self.recent)
         self.recent.append(interval.asked)
@@ -128,40 +130,47 @@
         return interval
 
     def evaluate(self, organisation, interval, now):
-        """Judge one organisation's interval; return newly raised findings."""
-        judged = [
-            self.judge_measure(organisation, measure, interval, now)
+        """Evaluate an organisation's interval; return the newly raised findings."""
+        results = [
+            self.evaluate_measure(organisation, measure, interval, now)
             for measure in Measure
         ]
-        return [finding for finding in judged if finding]
+        return [finding for finding in results if finding]
 
-    def judge_measure(self, organisation, measure, interval, now):
+    def evaluate_measure(self, organisation, measure, interval, now):
+        """Update the evidence for one measure; return the finding if newly raised."""
         comparison = interval.compare(organisation, measure)
         if comparison is None:
             return None
         evidence = self.evidence.setdefault((organisation, measure), Evidence())
-        most = DEMAND_EVIDENCE if measure in OF_DEMAND else INTERVAL_EVIDENCE
-        added = min(comparison.log_ratio, most)
-        # Evidence of hours must not keep a finding for hours after its cause ended.
-        most = 2 * self.threshold()
-        evidence.weight = min(max(0.0, evidence.weight + added), most)
-        self.count_alike(evidence, comparison)
+        maximum = (
+            MAXIMUM_DEMAND_EVIDENCE
+            if measure in DEMAND_MEASURES
+            else MAXIMUM_INTERVAL_EVIDENCE
+        )
+        added = min(comparison.log_ratio, maximum)
+        # Evidence accumulated over hours must not keep a finding for hours after its
+        # cause has ended.
+        maximum = 2 * self.threshold()
+        evidence.weight = min(max(0.0, evidence.weight + added), maximum)
+        self.update_alike(evidence, comparison)
         if evidence.finding is None and evidence.weight >= self.threshold():
             evidence.finding = build_finding(organisation, measure, comparison, now)
             return evidence.finding
         return None
 
-    def count_alike(self, evidence, comparison):
+    def update_alike(self, evidence, comparison):
+        """Count consecutive intervals without harm; clear the finding after enough."""
         alike = comparison.log_ratio <= 0
         evidence.alike_intervals = evidence.alike_intervals + 1 if alike else 0
-        if evidence.weight == 0.0 or evidence.alike_intervals >= CLEAR_INTERVALS:
+        if evidence.weight == 0.0 or evidence.alike_intervals >= CLEARING_INTERVALS:
             evidence.weight = 0.0
             evidence.finding = None
 
     def threshold(self):
-        """Return the evidence at which chance is excluded over all comparisons."""
+        """Return the evidence needed for a finding, given the number of comparisons."""
         comparisons = max(len(self.accounts), 1) * len(Measure)
-        return math.log(comparisons / LEVEL)
+        return math.log(comparisons / SIGNIFICANCE_LEVEL)
 
 
 def build_finding(organisation, measure, comparison, now):
@@ -171,13 +180,16 @@
         measure=measure,
         own=comparison.own,
         peers=comparison.peers,
-        decision=decide_cause(measure, comparison.common),
+        decision=find_decision(measure, comparison.common),
         common=comparison.common,
         since=now,
     )
 
 
-def decide_cause(measure, common):
-    """Return the decision to look at: answers that gather at one place point to it."""
+def find_decision(measure, common):
+    """Return the decision that probably caused a finding.
+
+    Slow answers that concentrate at one endpoint or zone point to the routing.
+    """
     slow = measure in (Measure.FIRST_TOKEN, Measure.TOTAL)
     return Decision.ROUTING if slow and common else DECISIONS[measure]
--- a/packages/fescuedrum/src/fescuedrum/decisions/following.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/following.py
@@ -1,15 +1,15 @@
-"""Decide which of many processes follow the platform's store themselves.
-
-Load pattern: a store that is paid for by the call tells of each change to everyone who
-waits for it. With tens of entries the engines that register at a start, or a release
-that replaces them, cost thousands of calls an hour, and the store's rates bound the
-fleet. So a few read, and the others learn from them.
-
-Whoever has enough readers before it, in an order that all share, leaves the store
-alone. Only readers that are heard and that the store answers count: where they die,
-lose the store or are cut off, those behind them step in, and each side of a cut has
-readers of its own. The order is by a digest of the address, as neighbours in the order
-of addresses often share a zone and are lost together.
+"""Decide which of many processes read the platform's store themselves.
+
+Load pattern: a store that bills per call reports each change to every process that
+waits for one. With tens of entries, the engines that register at a start, or a release
+that replaces them, cost thousands of calls an hour, and the store's rate limits bound
+the size of the fleet. So a few processes read, and the others learn from them.
+
+All processes share one order. A process with enough readers before it in that order
+doesn't call the store. Only readers that are reachable and get answers from the store
+count: when readers die, lose the store or are partitioned, the next in the order start
+to read, and each side of a partition has readers of its own. The order is by a hash of
+the address, as adjacent addresses often share a zone and are lost together.
 """
 
 import zlib
@@ -17,13 +17,16 @@
 STORE_READERS = 6
 
 
-def place_of(host):
-    """Return where a host stands in the order."""
+def sort_key(host):
+    """Return the sort key of a host in the shared order."""
     return (zlib.crc32(host.encode()), host)
 
 
 def must_read_store(own_host, answered_hosts):
-    """Tell whether a process reads; answered_hosts are those that the store answers."""
-    own = place_of(own_host)
-    before = sum(place_of(host) < own for host in answered_hosts)
-    return before < STORE_READERS
+    """Return whether a process must read the store itself.
+
+    answered_hosts are the other hosts that get answers from the store.
+    """
+    own_key = sort_key(own_host)
+    hosts_before = sum(sort_key(host) < own_key for host in answered_hosts)
+    return hosts_before < STORE_READERS
--- a/packages/fescuedrum/src/fescuedrum/decisions/leases.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/leases.py
@@ -1,15 +1,16 @@
-"""Decide who holds the lease on a singleton duty.
-
-Load pattern: several processes want one duty, and any of them may be paused, cut off
-or replaced. Without a lease each would give its own orders; with clocks compared
-between hosts a skewed one would take a duty that is still held. So a challenger
-measures, by its own clock alone, how long the row's version has stood still, and the
-holder counts its time from before it sent the renewal. A holder paused past its time
-may still believe in its lease for a moment: its orders carry the fencing number of
-its term, and receivers refuse numbers below the highest they have seen.
-
-Renewing three times in a term lets two renewals in a row be lost. The margin covers
-timers of the two hosts that run up to a tenth apart.
+"""Decide which process holds the lease on a singleton duty.
+
+Load pattern: several processes compete for one duty, and any of them may be paused,
+partitioned or replaced. Without a lease each would give its own orders. If clocks of
+different hosts were compared, a process with a skewed clock could take a duty that is
+still held. So a challenger measures with its own clock only how long the row's version
+has not changed, and the holder counts its term from before it sent the renewal. A
+holder paused past the end of its term may still act on the lease for a moment: its
+orders carry the fencing number of its term, and receivers refuse numbers below the
+highest they have seen.
+
+Renewing three times per term tolerates two lost renewals in a row. The margin covers
+timers of the two hosts that differ in rate by up to a tenth.
 """
 
 from dataclasses import dataclass
@@ -20,25 +21,25 @@
 
 @dataclass(slots=True, frozen=True)
 class Acquire:
-    """Try to become the holder if the row still has this version."""
+    """Acquire the lease if the row still has this version."""
 
     expected_version: int
 
 
 @dataclass(slots=True, frozen=True)
 class Renew:
-    """Try to stay the holder if the row still has this version."""
+    """Renew the lease if the row still has this version."""
 
     expected_version: int
 
 
 @dataclass(slots=True, frozen=True)
 class Wait:
-    """Leave the row alone: someone else holds the lease."""
+    """Don't write the row: another process holds the lease."""
 
 
 class LeaseTerm:
-    """Hold one process's knowledge of one lease row.
+    """What one process knows of one lease row; times are loop time in seconds.
 
     holder is unique for each start of a process; duration is in seconds.
     """
@@ -54,35 +55,36 @@
         self.held_until = 0.0
 
     def holds(self, now):
-        """Tell whether this process may act as the holder."""
+        """Return whether this process may act as the holder."""
         return self.fence is not None and now < self.held_until
 
     def observe(self, holder, version, fence, now):
-        """Take in a row whose answer came at this time."""
+        """Update from a row that was read; now is when the store's answer came."""
         self.fence = fence if holder == self.holder else None
         if version != self.version:
             self.version = version
-            # A row that may have changed just before the answer gets a whole term.
+            # The row may have changed just before the answer, so a whole term counts
+            # from now.
             self.seen_at = now
 
     def decide(self, holder, now):
-        """Choose what to do about a row that was just observed."""
+        """Return the next action for the row that was just observed."""
         if holder == self.holder:
             return Renew(self.version)
-        patience = self.duration * (1 + CLOCK_RATE_MARGIN)
-        if not holder or now - self.seen_at >= patience:
+        takeover_seconds = self.duration * (1 + CLOCK_RATE_MARGIN)
+        if not holder or now - self.seen_at >= takeover_seconds:
             return Acquire(self.version)
         return Wait()
 
     def record_written(self, fence, version, sent_at):
-        """Note that a write of ours, sent at that time, is in the table."""
+        """Record that this process's write, sent at sent_at, is in the table."""
         self.fence = fence
         self.version = version
         self.seen_at = sent_at
         self.held_until = sent_at + self.duration
 
     def lost(self):
-        """Note that someone else changed the row."""
+        """Record that another process changed the row."""
         self.fence = None
         self.held_until = 0.0
 
--- a/packages/fescuedrum/src/fescuedrum/decisions/limits.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/limits.py
@@ -1,36 +1,36 @@
-"""Decide how many requests an endpoint runs at the same time.
-
-Load patterns: an endpoint just started, or gone cold without warning, that falls over
-under what a warm one carries; and an endpoint whose delay grows faster than its
-throughput. With a fixed limit the first falls over at each restart, and the second
-collects requests that it only makes wait.
-
-The limit starts at a floor and stays there until enough answers came in a row. Then
-each answer in good time raises it by one, which doubles it in each round of answers,
-up to the ceiling. Warm, it moves by additive increase and multiplicative decrease on
-delay for each unit of size, against the best window seen. A sign of coldness takes it
-back to the floor: refused or cut connections, "unavailable", failures in a row, or a
-window of very slow answers. After a pause the old limit proves nothing, since the
-endpoint may have been restarted meanwhile, so it is climbed again (as TCP does after
-idling).
+"""Adapt the concurrency limit of an endpoint: how many requests it runs at once.
+
+Load patterns: an endpoint that has just started, or became cold without warning, fails
+under the load that a warm one carries; and an endpoint's delay grows faster than its
+throughput. With a fixed limit the first fails at each restart, and the second accepts
+requests that only wait inside it.
+
+The limit starts at a floor and stays there until enough consecutive answers have come.
+Then each answer in good time raises it by one, which doubles it per round of answers,
+up to the ceiling. A warm endpoint's limit moves by additive increase and multiplicative
+decrease (AIMD) on the delay per unit of size, compared with the best window seen. A
+sign of coldness resets it to the floor: refused or reset connections, "unavailable",
+consecutive failures, or a window of very slow answers. After an idle period the old
+limit is no longer reliable, since the endpoint may have been restarted meanwhile, so
+the limit is ramped up again (as TCP does after idling).
 """
 
 import enum
 import statistics
 from collections import deque
 
-SLOW = 2.0
-COLD = 4.0
+SLOW_FACTOR = 2.0
+COLD_FACTOR = 4.0
 FAILURE_STREAK = 3
-BACK_OFF = 0.9
-FORGET = 1.05
-LIGHT = 2
+DECREASE_FACTOR = 0.9
+BEST_DELAY_GROWTH = 1.05
+LIGHT_LOAD_FACTOR = 2
 MINIMUM_WINDOW = 8
 IDLE_SECONDS = 10.0
 
 
 class Phase(enum.StrEnum):
-    """Say how far an endpoint is known to carry load."""
+    """Warm-up phases of an endpoint."""
 
     COLD = "cold"
     RAMP = "ramp"
@@ -38,12 +38,12 @@
 
 
 class StartLimiter:
-    """Let no more requests start within a short time than a cold endpoint carries.
+    """Limit the requests started within a short time to what a cold endpoint carries.
 
-    An endpoint that turns cold cuts what it runs, but what is on its way at that moment
-    reaches it all the same: a round of new requests, started together as a batch's
-    places became free, fells it before its agent can know. Spaced out over the time
-    that a cut takes to be noticed, no more than the floor is ever on its way.
+    An endpoint that becomes cold aborts the requests it runs, but those in flight at
+    that moment still reach it: a round of new requests, started together when a batch
+    ended, makes it fail before its agent can know. When starts are spread over the time
+    that it takes to notice an abort, no more than count requests are in flight.
     """
 
     __slots__ = ("count", "recent", "seconds")
@@ -54,17 +54,18 @@
         self.recent = deque(maxlen=count)
 
     def wait(self, now):
-        """Return the seconds until one more may start; 0 for now."""
+        """Return the seconds until one more request may start; 0 if it may now."""
         if len(self.recent) < self.count:
             return 0.0
         return max(0.0, self.recent[0] + self.seconds - now)
 
     def started(self, now):
+        """Record that a request starts."""
         self.recent.append(now)
 
 
 class EndpointLimit:
-    """Hold the concurrency limit of one endpoint; times are loop time in seconds."""
+    """Adaptive concurrency limit of one endpoint; times are loop time in seconds."""
 
     __slots__ = (
         "answers",
@@ -91,13 +92,14 @@
         self.reset(Phase.COLD)
 
     def bound(self, floor, ceiling):
-        """Follow a change of the floor and the ceiling."""
+        """Set the floor and the ceiling, and clamp the limit to them."""
         self.floor = floor
         self.ceiling = max(ceiling, floor)
         highest = self.floor if self.phase is Phase.COLD else self.ceiling
         self.limit = min(max(self.limit, self.floor), highest)
 
     def reset(self, phase):
+        """Enter a phase with the limit at the floor."""
         self.phase = phase
         self.limit = self.floor
         self.answers = 0
@@ -105,6 +107,7 @@
         self.clear_window()
 
     def clear_window(self):
+        """Start a new window of delays."""
         self.window = []
         self.saturated = False
 
@@ -113,7 +116,7 @@
         return self.phase is Phase.WARM
 
     def starting(self, running, now):
-        """Note that a request is about to start beside the running ones."""
+        """Record that a request is about to start in addition to the running ones."""
         idle = running == 0 and self.last_at is not None
         if idle and now - self.last_at > IDLE_SECONDS and self.phase is Phase.WARM:
             self.reset(Phase.RAMP)
@@ -122,51 +125,57 @@
             self.saturated = True
 
     def answered(self, delay, now):
-        """Learn from an answer; delay is in seconds for each unit of size."""
+        """Update from an answer; delay is in seconds per unit of size."""
         self.last_at = now
         self.failures = 0
         self.answers += 1
         match self.phase:
             case Phase.COLD:
-                self.leave_floor()
+                self.leave_cold_phase()
             case Phase.RAMP:
-                self.climb(delay)
+                self.ramp_up(delay)
             case Phase.WARM:
                 pass
         self.add_to_window(delay)
 
-    def leave_floor(self):
+    def leave_cold_phase(self):
+        """Enter the ramp phase once enough answers have come."""
         if self.answers >= self.warm_after:
             self.phase = Phase.RAMP
             self.limit = min(self.limit + 1, self.ceiling)
 
-    def climb(self, delay):
+    def ramp_up(self, delay):
+        """Raise the limit by one if the delay is good; at the ceiling become warm."""
         best = self.best_delay
-        if best is None or delay <= SLOW * best:
+        if best is None or delay <= SLOW_FACTOR * best:
             self.limit = min(self.limit + 1, self.ceiling)
         if self.limit >= self.ceiling:
             self.phase = Phase.WARM
 
     def add_to_window(self, delay):
+        """Add a delay to the window, and close the window when it is full."""
         self.window.append(delay)
         if len(self.window) >= max(self.limit, MINIMUM_WINDOW):
-            # One caller's odd requests move a mean, but not a median.
+            # Unusual requests of one caller would shift a mean, but not a median.
             self.close_window(statistics.median(self.window))
 
     def close_window(self, delay):
+        """Adjust the limit to the median delay of a full window."""
         best = self.best_delay
-        # Only an endpoint with little to do shows what delay it has without load; if
-        # the best were forgotten under load, limit and delay would rise together.
-        light = self.limit <= LIGHT * self.floor
-        cold = best is not None and delay > COLD * best
-        grown = best is not None and best * (FORGET if light else 1.0)
-        self.best_delay = delay if best is None else min(grown, delay)
-        if cold and not light:
+        # Only a lightly loaded endpoint shows its delay without load. If the best delay
+        # were raised under load, limit and delay would rise together.
+        is_lightly_loaded = self.limit <= LIGHT_LOAD_FACTOR * self.floor
+        is_cold = best is not None and delay > COLD_FACTOR * best
+        highest_best = best is not None and best * (
+            BEST_DELAY_GROWTH if is_lightly_loaded else 1.0
+        )
+        self.best_delay = delay if best is None else min(highest_best, delay)
+        if is_cold and not is_lightly_loaded:
             self.collapse()
             return
-        if delay > SLOW * self.best_delay:
-            self.limit = max(self.floor, int(self.limit * BACK_OFF))
-            # Delay has shown where the endpoint's own ceiling lies.
+        if delay > SLOW_FACTOR * self.best_delay:
+            self.limit = max(self.floor, int(self.limit * DECREASE_FACTOR))
+            # The delay has shown the endpoint's own ceiling.
             if self.phase is Phase.RAMP:
                 self.phase = Phase.WARM
         elif self.saturated and self.phase is Phase.WARM:
@@ -174,10 +183,11 @@
         self.clear_window()
 
     def failed(self, now, *, unavailable):
-        """Learn from a failure; unavailable means that it refused, cut or was full.
+        """Update from a failure.
 
-        A single failed request may be the caller's fault, and must not let one
-        caller take an endpoint from all others; only a row of them is a sign.
+        unavailable means that the endpoint refused or reset the connection or was full.
+        A single failed request may be the caller's fault, and must not let one caller
+        reduce the endpoint's limit for all others; only consecutive failures count.
         """
         self.last_at = now
         self.failures += 1
@@ -185,5 +195,6 @@
             self.collapse()
 
     def collapse(self):
+        """Treat the endpoint as cold."""
         self.collapses += 1
         self.reset(Phase.COLD)
--- a/packages/fescuedrum/src/fescuedrum/decisions/pacing.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/pacing.py
@@ -1,38 +1,39 @@
-"""Pace heartbeats and reconnects.
-
-Load pattern: a switch comes back, or all entries of a zone restart, and every process
-dials every other at once; or a zone grows, and each new member adds heartbeats to all.
-Without jitter the dials come in waves that fill the listeners' queues and fail
-together; with a fixed interval a node's control traffic grows with its zone. So waits
-double with each failure and are drawn from the whole interval, and heartbeats slow
-down once there are more members than HEARTBEATS_PER_SECOND allows.
-
-64 heartbeats a second are 9.5 KB a second sent: 45 bytes each, 52 of their packet's
-headers, and 52 for the acknowledgement of the one that came the other way. With digests
-and documents that leaves room within the 17 KB a second that a node may spend.
+"""Limit the rate of heartbeats and of reconnection attempts.
+
+Load pattern: a switch recovers, or all entries of a zone restart, and every process
+connects to every other at once; or a zone grows, and each new member adds heartbeats to
+all others. Without jitter the connection attempts come in waves that overflow the
+listeners' queues and fail together; with a fixed interval a node's control traffic
+grows with its zone. So the waits between attempts double with each failure and are
+randomised, and heartbeats become less frequent once there are more members than
+HEARTBEATS_PER_SECOND allows.
+
+Sending 64 heartbeats per second takes 9.5 KB/s: 45 bytes each, 52 bytes of packet
+headers, and 52 bytes to acknowledge a heartbeat of the other side. With digests and
+documents this stays within the 17 KB/s that a node may send.
 """
 
 HEARTBEATS_PER_SECOND = 64.0
-# A member is silent after this many heartbeats that did not come.
-MISSED_BEATS = 4
+# Consecutive heartbeats missed before a member counts as silent.
+MISSED_HEARTBEATS = 4
 FIRST_RETRY_SECONDS = 0.2
 LONGEST_RETRY_SECONDS = 5.0
 
 
 def send_interval(
-    base: float, members: int, beats_per_second: float = HEARTBEATS_PER_SECOND
+    base: float, members: int, messages_per_second: float = HEARTBEATS_PER_SECOND
 ) -> float:
-    """Return the seconds between heartbeats to each of so many members."""
-    return max(base, members / beats_per_second)
+    """Return the seconds between heartbeats to each of this many members."""
+    return max(base, members / messages_per_second)
 
 
 def allowed_silence(base, interval):
     """Return the seconds of silence after which a member is suspected."""
-    return max(base, MISSED_BEATS * interval)
+    return max(base, MISSED_HEARTBEATS * interval)
 
 
 class MessageLimiter:
-    """Keep messages to a mean rate; what was not used lately may be sent at once.
+    """Limit messages to a mean rate, with bursts of up to burst_seconds of that rate.
 
     Times are loop time in seconds.
     """
@@ -42,15 +43,15 @@
     def __init__(self, per_second: float, burst_seconds: float) -> None:
         self.per_second = per_second
         self.burst_seconds = burst_seconds
-        # The rate is used up until then.
+        # The time until which the rate is used up.
         self.spent_until = float("-inf")
 
     def due(self, now: float) -> float:
-        """Return when the next messages may be sent."""
+        """Return the time at which the next messages may be sent."""
         return max(self.spent_until, now)
 
     def spend(self, messages: int, now: float) -> None:
-        """Take messages that are sent now from the rate."""
+        """Record that messages are sent now."""
         start = max(self.spent_until, now - self.burst_seconds)
         self.spent_until = start + messages / self.per_second
 
@@ -70,6 +71,6 @@
     def next_wait(self):
         """Return the seconds to wait after another connection ended or failed."""
         longest = min(FIRST_RETRY_SECONDS * 2**self.failures, LONGEST_RETRY_SECONDS)
-        # Beyond this the wait no longer grows, and neither need the number.
+        # Beyond this the wait no longer grows.
         self.failures = min(self.failures + 1, 10)
         return self.random.uniform(longest / 2, longest)
--- a/packages/fescuedrum/src/fescuedrum/decisions/presence.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/presence.py
@@ -1,14 +1,15 @@
 """Decide which endpoints of the platform's instance list may get work.
 
-Load pattern: engines leave and come back by the dozen while the store that lists them
-is away or slow. Entries of the list lapse in an outage though their engines live, and
-are written again soon after it. Taking each lapse for a leave empties the list and
-every request is refused; taking none for a leave sends work to engines that are gone.
-
-An entry that is deleted while the store answers is a leave and counts at once. One
-that is found deleted right after an outage is kept on trial until the store has been
-back for RETURN_SECONDS: live engines are listed again within that time. An engine that
-had announced its leave is gone at once in either case.
+Load pattern: engines leave and return by the dozen while the store that lists them is
+unreachable or slow. Their rows in the list expire during an outage although the engines
+run, and are written again soon after it. Treating each expired row as a leave empties
+the list, and every request is refused; treating none as a leave sends work to engines
+that are gone.
+
+A row that is deleted while the store answers means a leave and counts at once. A row
+that is found deleted right after an outage is kept until the store has been reachable
+again for RETURN_SECONDS: running engines are listed again within that time. An engine
+that had announced its leave is removed at once in either case.
 """
 
 import enum
@@ -18,7 +19,7 @@
 
 
 class EndpointState(enum.StrEnum):
-    """Say what an endpoint tells of itself."""
+    """States that an endpoint reports about itself."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -26,34 +27,34 @@
 
 @dataclass(slots=True, frozen=True)
 class ListedEndpoint:
-    """Hold one line of the platform's list of endpoints."""
+    """One row of the platform's list of endpoints."""
 
-    # Identity of one start of an endpoint, mostly a new one for each start.
+    # Identity of one start of an endpoint; usually different after a restart.
     name: str
     service: str
     host: str
     port: int
     zone: str
     state: EndpointState
-    # Requests that it runs at the same time.
+    # Number of requests that it runs concurrently.
     slots: int
-    # How long it stays slow after its start, in seconds.
+    # Seconds for which it stays slow after its start.
     cold_seconds: float = 0.0
-    # When it started, as the endpoint says: another value is another start.
+    # Start time as reported by the endpoint; a different value is a different start.
     started_at: int = 0
 
 
 @dataclass(slots=True)
 class Presence:
-    """Hold what is known of whether an endpoint is there."""
+    """A listed endpoint, or one whose row was deleted and that may still run."""
 
     endpoint: ListedEndpoint
-    # Loop time at which an entry that lapsed counts as gone; None while it is listed.
+    # Loop time at which an unlisted endpoint counts as gone; None while it is listed.
     gone_at: float | None = None
 
 
 class EndpointPresence:
-    """Follow the list of endpoints; times are loop time in seconds."""
+    """The endpoints that may get work, by name; times are loop time in seconds."""
 
     __slots__ = ("by_name", "outage_ended_at", "store_unreachable")
 
@@ -63,11 +64,11 @@
         self.outage_ended_at = float("-inf")
 
     def store_lost(self):
-        """Note that the store does not answer."""
+        """Record that the store does not answer."""
         self.store_unreachable = True
 
     def store_returned(self, now):
-        """Note that the store answers; only the end of an outage changes anything."""
+        """Record that the store answers; only the end of an outage has an effect."""
         if not self.store_unreachable:
             return
         self.store_unreachable = False
@@ -77,27 +78,28 @@
                 presence.gone_at = now + RETURN_SECONDS
 
     def listed(self, endpoint):
-        """Take an endpoint's entry as it is now."""
+        """Add an endpoint, or replace it by its current row."""
         self.by_name[endpoint.name] = Presence(endpoint)
 
     def unlisted(self, name, now):
-        """Take note that an endpoint's entry is gone."""
+        """Record that an endpoint's row was deleted; remove it now or after a wait."""
         presence = self.by_name.get(name)
         if presence is None:
             return
         draining = presence.endpoint.state is EndpointState.DRAINING
-        if draining or not self.is_doubtful(now):
+        if draining or not self.is_list_unreliable(now):
             del self.by_name[name]
         elif self.store_unreachable:
             presence.gone_at = float("inf")
         else:
             presence.gone_at = self.outage_ended_at + RETURN_SECONDS
 
-    def is_doubtful(self, now):
+    def is_list_unreliable(self, now):
+        """Return whether the store is unreachable or has only just returned."""
         return self.store_unreachable or now < self.outage_ended_at + RETURN_SECONDS
 
     def expire(self, now):
-        """Drop the entries on trial whose time is over; return their names."""
+        """Remove the unlisted endpoints whose wait is over; return their names."""
         expired = [
             name
             for name, presence in self.by_name.items()
@@ -108,7 +110,7 @@
         return expired
 
     def of_service(self, service):
-        """Return the endpoints of a service that may still be there."""
+        """Return the endpoints of a service that may still be running."""
         endpoints = (presence.endpoint for presence in self.by_name.values())
         return [each for each in endpoints if each.service == service]
 
--- a/packages/fescuedrum/src/fescuedrum/decisions/ratelimits.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/ratelimits.py
@@ -1,15 +1,16 @@
-"""Keep to the rate of requests that an endpoint takes from all gateways together.
-
-Load pattern: an engine recovers, or its machine is shared for a while, and its answers
-say how many requests a second it takes until further notice. A hundred gateways hear of
-it one by one, each from an answer of its own, and none knows what the others send:
-together they send many times what the engine takes, and it fails for all of them.
-
-So each gateway keeps to its part of the rate (fescuedrum.decisions.shares), counted in
-windows of some seconds, as rates may be below one request a second. What one gateway
-was told it reports to the others with its beacons, and the newest report of an endpoint
-counts for all. An endpoint ends its limit by an answer without a rate. As long as it
-gets no request it can't, so after a silence a few gateways may send it one each.
+"""Keep to the request rate that an endpoint accepts from all gateways together.
+
+Load pattern: an engine recovers, or shares its machine for a while, and its answers
+announce how many requests per second it accepts until further notice. A hundred
+gateways learn of it one by one, each from an answer of its own, and none knows what the
+others send: together they send many times the rate, and the engine fails for all.
+
+So each gateway keeps to its share of the rate (fescuedrum.decisions.shares), counted in
+windows of several seconds, as rates may be below one request per second. A gateway
+reports the rates announced to it to the others with its beacons, and the newest report
+about an endpoint applies to all. An endpoint ends its limit by an answer without a
+rate. It can't do so while it gets no requests, so after a silence a few gateways may
+send it one request each as a probe.
 """
 
 import math
@@ -17,28 +18,28 @@
 from dataclasses import dataclass
 
 WINDOW_SECONDS = 4.0
-# After so long without an answer of the endpoint, so many requests may probe it.
+# After SILENT_SECONDS without an answer, PROBE_REQUESTS may be sent per window.
 SILENT_SECONDS = 10.0
 PROBE_REQUESTS = 3
-# How long others are told that a limit has ended.
+# Seconds for which the end of a limit is reported to other gateways.
 ENDED_SECONDS = 10.0
 
 
 @dataclass(slots=True, frozen=True)
 class Limited:
-    """Say that an endpoint takes so many requests a second from all together."""
+    """The endpoint accepts this many requests per second from all gateways together."""
 
     per_second: float
 
 
 @dataclass(slots=True, frozen=True)
 class Unlimited:
-    """Say that an endpoint names no rate."""
+    """The endpoint announces no rate limit."""
 
 
 @dataclass(slots=True, frozen=True)
 class NotUnderstood:
-    """Say that an endpoint names a rate that can't be read."""
+    """The endpoint announces a rate limit that can't be parsed."""
 
     text: str
 
@@ -48,24 +49,24 @@
 
 @dataclass(slots=True, frozen=True)
 class RateReport:
-    """Hold what an endpoint's answer said of its rate, and when, in loop time."""
+    """The rate limit in an endpoint's answer, and the loop time of the answer."""
 
     rate: Limited | Unlimited
     stated_at: float
 
 
 class RateLimits:
-    """Know the newest report of each endpoint that is, or was lately, limited."""
+    """The newest report of each endpoint that is, or recently was, limited."""
 
     __slots__ = ("newest", "own")
 
     def __init__(self) -> None:
-        # By name of endpoint; own holds what this gateway was told itself.
+        # By endpoint name; own has only the reports from this gateway's own requests.
         self.newest: dict[str, RateReport] = {}
         self.own: dict[str, RateReport] = {}
 
     def observe(self, endpoint: str, rate: Rate, now: float) -> bool:
-        """Take what an answer says; tell whether it changes the limit in force."""
+        """Process the rate in an answer; return whether the limit in force changes."""
         match rate:
             case NotUnderstood():
                 return False
@@ -75,7 +76,7 @@
         return self.merge(endpoint, report)
 
     def merge(self, endpoint: str, report: RateReport) -> bool:
-        """Take another gateway's report; tell whether it changes the limit in force."""
+        """Process a report; return whether the limit in force changes."""
         known = self.newest.get(endpoint)
         if known is not None and known.stated_at >= report.stated_at:
             return False
@@ -83,12 +84,15 @@
         return (known.rate if known else Unlimited()) != report.rate
 
     def forget(self, endpoint: str) -> None:
-        """Drop what is known of an endpoint that is gone or has started anew."""
+        """Remove the reports of an endpoint that is gone or has restarted."""
         self.newest.pop(endpoint, None)
         self.own.pop(endpoint, None)
 
     def requests(self, endpoint: str, now: float) -> int | None:
-        """Return what all may send an endpoint in a window; None without a limit."""
+        """Return how many requests all gateways may send an endpoint per window.
+
+        Return None if the endpoint is not limited.
+        """
         match self.newest.get(endpoint):
             case RateReport(Limited(per_second), stated_at):
                 is_silent = now - stated_at > SILENT_SECONDS
@@ -98,7 +102,7 @@
                 return None
 
     def limited(self) -> list[str]:
-        """Return the endpoints that are limited at present."""
+        """Return the names of the endpoints that are limited now."""
         return [
             endpoint
             for endpoint, report in self.newest.items()
@@ -106,7 +110,7 @@
         ]
 
     def reports(self, now: float) -> Iterator[tuple[str, RateReport]]:
-        """Yield what this gateway was told itself and others should know."""
+        """Yield this gateway's own reports to send to others; remove expired ones."""
         for endpoint, report in list(self.own.items()):
             is_old = now - report.stated_at > ENDED_SECONDS
             if is_old and isinstance(report.rate, Unlimited):
@@ -116,5 +120,5 @@
 
 
 def is_rate(per_second: float) -> bool:
-    """Tell whether a number can be a rate; not all that floats can hold are."""
+    """Return whether a number is a valid rate: finite and not negative."""
     return math.isfinite(per_second) and per_second >= 0
--- a/packages/fescuedrum/src/fescuedrum/decisions/retries.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/retries.py
@@ -1,12 +1,12 @@
-"""Decide whether an idempotent request may be sent again, or to two endpoints at once.
-
-Load pattern: an endpoint or a zone fails while the rest is busy. Every request that
-failed there comes back as a retry; with a fixed count of three each, the endpoints
-that are left get up to four times the load just when they have least to spare, fail
-in turn and are retried as well. A budget bounds that: all retries together are a share
-of recent requests, whatever share of those fails. Hedges pay for the slowest few
-requests by a second copy and have a share of their own, so that a time in which all
-are slow, when a copy helps nobody, costs little.
+"""Limit retries and hedges of idempotent requests by budgets.
+
+Load pattern: an endpoint or a zone fails while the others are busy. Every request that
+failed there is retried; with a fixed count of three retries each, the remaining
+endpoints get up to four times the load when they have the least spare capacity, fail in
+turn and cause more retries. A budget limits this: all retries together are at most a
+share of recent requests, whatever share of those fails. Hedges send a second copy of
+the slowest few requests and have a budget of their own, so that they cost little while
+all requests are slow and copies don't help.
 """
 
 import math
@@ -15,48 +15,51 @@
 RETRY_SHARE = 0.2
 HEDGE_SHARE = 0.05
 WINDOW_SECONDS = 10.0
-MINIMUM = 3.0
-SAFE_PART = 0.8
+MINIMUM_RETRIES = 3.0
+SAFETY_FACTOR = 0.8
 HEDGE_QUANTILE = 0.95
 HEDGE_STEP = 0.05
 HEDGE_SAMPLES = 50
 
 
-class FadingCount:
-    """Count events; each counts less as time passes."""
+class DecayingCount:
+    """Exponentially decaying count of events."""
 
-    __slots__ = ("at", "count", "window")
+    __slots__ = ("as_of", "count", "window")
 
     def __init__(self, window):
         self.window = window
         self.count = 0.0
-        self.at = 0.0
+        self.as_of = 0.0
 
     def value(self, now):
-        return self.count * math.exp((self.at - now) / self.window)
+        """Return the decayed count at this time."""
+        return self.count * math.exp((self.as_of - now) / self.window)
 
     def add(self, now):
         self.count = self.value(now) + 1.0
-        self.at = now
+        self.as_of = now
 
 
 class RetryBudget:
-    """Allow extra sendings up to a share of recent requests."""
+    """Allow retries or hedges up to a share of recent requests."""
 
     __slots__ = ("extra", "minimum", "requests", "share")
 
-    def __init__(self, share=RETRY_SHARE, minimum=MINIMUM, window=WINDOW_SECONDS):
+    def __init__(
+        self, share=RETRY_SHARE, minimum=MINIMUM_RETRIES, window=WINDOW_SECONDS
+    ):
         self.share = share
         self.minimum = minimum
-        self.requests = FadingCount(window)
-        self.extra = FadingCount(window)
+        self.requests = DecayingCount(window)
+        self.extra = DecayingCount(window)
 
     def request(self, now):
-        """Note a first sending."""
+        """Record a request that is sent for the first time."""
         self.requests.add(now)
 
     def spend(self, now):
-        """Take one extra sending from the budget; False when there is none."""
+        """Take one retry or hedge from the budget; return False if none is left."""
         allowed = max(self.minimum, self.share * self.requests.value(now))
         if self.extra.value(now) + 1.0 > allowed:
             return False
@@ -65,7 +68,7 @@
 
 
 class SlidingCount:
-    """Count the events of the last window of seconds."""
+    """Count of the events within the last window seconds."""
 
     __slots__ = ("times", "window")
 
@@ -74,6 +77,7 @@
         self.times = deque()
 
     def value(self, now):
+        """Return the number of events within the window up to now."""
         while self.times and self.times[0] <= now - self.window:
             self.times.popleft()
         return len(self.times)
@@ -83,11 +87,11 @@
 
 
 class SharedRetryBudget:
-    """Allow repeats of one service up to this entry's part of a common bound.
+    """Allow retries for one service up to this entry's share of a common limit.
 
-    The bound holds for the repeats of all entries in any window: share of the requests
-    plus slack. Each entry counts its own requests, and takes an even part of the slack
-    by the number of entries that there may be. The figures are the platform's.
+    The limit applies to the retries of all entries in any window: share times the
+    requests, plus slack. Each entry counts its own requests, and takes an equal part of
+    the slack by the highest possible number of entries. The platform sets the figures.
     """
 
     __slots__ = ("repeats", "requests", "share", "slack")
@@ -99,17 +103,17 @@
         self.repeats = SlidingCount(window)
 
     def request(self, now):
-        """Note a request that a caller sent for the service."""
+        """Record a request that a caller sent for the service."""
         self.requests.add(now)
 
     def left(self, now, entries):
-        """Return how many repeats this entry may send yet."""
+        """Return how many more retries this entry may send."""
         allowed = self.share * self.requests.value(now) + self.slack / max(entries, 1)
-        # The bound is common and entries start and end: a fifth is kept for that.
-        return SAFE_PART * allowed - self.repeats.value(now)
+        # The limit is common and entries come and go, so a fifth of it is reserved.
+        return SAFETY_FACTOR * allowed - self.repeats.value(now)
 
     def spend(self, now, entries):
-        """Take one repeat from the budget; False when there is none."""
+        """Take one retry from the budget; return False if none is left."""
         if self.left(now, entries) < 1:
             return False
         self.repeats.add(now)
@@ -117,7 +121,7 @@
 
 
 class HedgeDelay:
-    """Follow the delay that a given share of answers exceeds."""
+    """Running estimate of the HEDGE_QUANTILE of answer delays."""
 
     __slots__ = ("samples", "seconds")
 
@@ -126,7 +130,7 @@
         self.samples = 0
 
     def observe(self, seconds):
-        """Take the time from a sending to its head."""
+        """Update from the seconds between sending a request and its response head."""
         self.samples += 1
         if self.samples == 1:
             self.seconds = seconds
@@ -136,12 +140,12 @@
             self.seconds *= 1 - HEDGE_STEP * (1 - HEDGE_QUANTILE)
 
     def delay(self):
-        """Return the wait before a hedge in seconds; None while too little is known."""
+        """Return the seconds to wait before a hedge; None with too few answers."""
         return self.seconds if self.samples >= HEDGE_SAMPLES else None
 
 
 class ServiceRetries:
-    """Hold what one entry may spend on one service."""
+    """Budgets of one entry for the retries and hedges of one service."""
 
     __slots__ = ("hedge_delay", "hedges", "retries")
 
@@ -151,5 +155,6 @@
         self.hedge_delay = HedgeDelay()
 
     def request(self, now):
+        """Record a request that is sent for the first time."""
         self.retries.request(now)
         self.hedges.request(now)
--- a/packages/fescuedrum/src/fescuedrum/decisions/returns.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/returns.py
@@ -1,37 +1,37 @@
-"""Decide when refused callers should come back, and who goes first then.
-
-Load pattern: a group of engines is down for seconds, because one rank left or a zone
-is cut off, or more callers come than it can serve for as long. Callers try once more.
-Told to come back soon they meet the same trouble, and both tries are lost; told nothing
-they come back at once. A caller waits for a third of the time it has left at most, so
-that is what it is told: whoever comes late enough is served, and an answer is worth the
-same whether it is one second late or three.
-
-A group that stalls refuses all that waited in it at the same moment, so waits are
-spread, or they would all be back at another. They meet the callers of that moment, who
-can still be answered on time, while they themselves are late in any case: so they go
-behind. Who comes back is known by the time that is left, so a wait must be long enough
-to tell such callers from new ones; otherwise they take the places of those who would be
-on time.
+"""Choose when refused callers should retry, and recognise retries when they arrive.
+
+Load pattern: a group of engines is down for seconds because one rank left or a zone is
+partitioned, or it gets more callers than it can serve for that long. Callers retry
+once. If told to retry soon, they meet the same failure, and both attempts are lost; if
+told nothing, they retry at once. A caller waits for at most a third of its remaining
+time, so it is told to wait that long: a caller that retries late enough is served, and
+an answer is worth the same whether it is one second late or three.
+
+A group that stalls refuses all waiting requests at the same moment, so the waits are
+randomised; otherwise all retries would arrive together. They compete with new callers,
+who can still be answered on time, while the retries are late in any case: so retries
+are served after them. A retry is recognised by its shorter remaining time, so the wait
+must be long enough to tell it from a new request; otherwise retries take the slots of
+requests that would be on time.
 """
 
 import random
 
-LONGEST_PART = 0.98 / 3
-SPREAD = 0.25
-# New callers of one route have at least this part of its longest patience left.
-FRESH_PART = 0.8
-# How much less urgent a caller is who comes back.
+LONGEST_WAIT_SHARE = 0.98 / 3
+WAIT_SPREAD = 0.25
+# A new caller has at least this share of its route's longest patience left.
+NEW_CALLER_SHARE = 0.8
+# Ranks by which a retry is less urgent than a new request.
 RETRY_RANK_PENALTY = 3
 
 
-def retry_delay(patience: float, chance: random.Random) -> float:
-    """Return after how many seconds a caller with so much patience should come back."""
-    return patience * LONGEST_PART * (1 - SPREAD * chance.random())
+def retry_delay(patience: float, generator: random.Random) -> float:
+    """Return the seconds after which a caller with this patience should retry."""
+    return patience * LONGEST_WAIT_SHARE * (1 - WAIT_SPREAD * generator.random())
 
 
 class PatienceTracker:
-    """Follow how long the callers of a route are willing to wait, in seconds."""
+    """The longest time that callers of a route were willing to wait, in seconds."""
 
     __slots__ = ("longest",)
 
@@ -39,8 +39,11 @@
         self.longest = 0.0
 
     def is_fresh(self, patience: float | None) -> bool:
-        """Tell whether a caller seems to come for the first time."""
+        """Return whether a caller is probably new, not retrying; record its patience.
+
+        patience is its remaining time in seconds; None counts as new.
+        """
         if patience is None:
             return True
         self.longest = max(self.longest, patience)
-        return patience >= FRESH_PART * self.longest
+        return patience >= NEW_CALLER_SHARE * self.longest
--- a/packages/fescuedrum/src/fescuedrum/decisions/shares.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/shares.py
@@ -1,18 +1,20 @@
-"""Share out what an endpoint bears among gateways that don't ask each other.
-
-Load pattern: an engine starts anew, or limits its rate, and every gateway sees
-that it is the least loaded. Forty of them send it a request each within the same
-second, and it fails under what all of them together sent. None can count what others
-send meanwhile. So the bound is split beforehand.
-
-Where gateways are more than the requests that an endpoint bears, only some of them may
-send to it. Each endpoint has others, drawn by rendezvous hashing: a gateway that comes
-or goes moves one place at each endpoint, and those that know different members for a
-moment disagree by as much. Most places go to gateways of the endpoint's own zone, which
-send there first; the rest serves gateways whose own zone is full or out of service.
-
-Whoever does not know a gateway's zone leaves room for it in either: the parts of all
-must not add up to more than the bound while gateways get to know each other.
+"""Split an endpoint's request limit among gateways without coordination.
+
+Load pattern: an engine restarts, or limits its rate, and every gateway sees it as the
+least loaded. Forty of them send it one request each within the same second, and it
+fails under their total. No gateway can count what the others send meanwhile, so the
+limit is split in advance.
+
+If there are more gateways than requests allowed, only some of them may send to the
+endpoint. They differ from endpoint to endpoint, and are chosen by rendezvous hashing:
+a gateway that joins or leaves changes one share at each endpoint, and gateways that
+know different members for a moment disagree by no more than that. Most shares go to
+gateways of the endpoint's own zone, which prefer it; the others go to gateways whose
+own zone is full or out of service.
+
+A gateway whose zone is unknown is counted both as inside and as outside the endpoint's
+zone: the shares must not add up to more than the limit while gateways discover each
+other.
 """
 
 import collections
@@ -21,25 +23,25 @@
 
 from fescuedrum.decisions.topology import score
 
-# Part of the places that an endpoint's own zone gets, where not all gateways get one.
-ZONE_PART = 2 / 3
+# Fraction of the total for gateways in the endpoint's zone, if not all can get a share.
+OWN_ZONE_SHARE = 2 / 3
 
 
 @dataclass(slots=True)
-class Places:
-    """Count, for one endpoint, the gateways that go before this one."""
+class PrecedingGateways:
+    """Number of gateways that rank before this one at one endpoint."""
 
     # The endpoint's availability zone.
     zone: str
-    # Of those that are, or may be, in its zone.
+    # Gateways that are, or may be, in the endpoint's zone.
     in_zone: int = 0
-    # Of those that are, or may be, outside it.
+    # Gateways that are, or may be, outside it.
     outside: int = 0
-    in_all: int = 0
+    in_total: int = 0
 
-    def take(self, zone: str, change: int) -> None:
-        """Count a gateway of a zone in, or out."""
-        self.in_all += change
+    def adjust(self, zone: str, change: int) -> None:
+        """Add change (1 or -1) to the counts for a gateway in this zone."""
+        self.in_total += change
         if zone in (self.zone, ""):
             self.in_zone += change
         if zone != self.zone:
@@ -47,75 +49,78 @@
 
 
 class BoundShares:
-    """Know this gateway's part of the requests that each endpoint bears."""
+    """This gateway's share of the request limit of each endpoint."""
 
-    __slots__ = ("host", "members", "places", "zone", "zone_sizes")
+    __slots__ = ("host", "members", "preceding", "zone", "zone_sizes")
 
     def __init__(self, host: str, zone: str) -> None:
         self.host = host
         self.zone = zone
         # Zones of the other gateways that may send, by host; empty while unknown.
         self.members: dict[str, str] = {}
-        # How many of the others are in each zone.
+        # Number of other gateways in each zone.
         self.zone_sizes: collections.Counter[str] = collections.Counter()
-        # By name of endpoint.
-        self.places: dict[str, Places] = {}
+        # By endpoint name.
+        self.preceding: dict[str, PrecedingGateways] = {}
 
     def follow(self, members: Mapping[str, str]) -> None:
-        """Take the other gateways that may send at present."""
+        """Set the other gateways that may send now; members maps hosts to zones."""
         if members == self.members:
             return
         left = self.members.items() - members.items()
         joined = members.items() - self.members.items()
-        for endpoint, places in self.places.items():
-            self.count_before(endpoint, places, left, -1)
-            self.count_before(endpoint, places, joined, 1)
+        for endpoint, preceding in self.preceding.items():
+            self.count_preceding(endpoint, preceding, left, -1)
+            self.count_preceding(endpoint, preceding, joined, 1)
         self.members = dict(members)
         self.zone_sizes = collections.Counter(self.members.values())
 
     def forget(self, endpoint: str) -> None:
-        """Drop an endpoint that is gone."""
-        self.places.pop(endpoint, None)
+        """Remove an endpoint that is gone."""
+        self.preceding.pop(endpoint, None)
 
     def allowed(self, endpoint: str, zone: str, total: int) -> int:
-        """Return how many of total requests in a window are for this gateway to send.
+        """Return this gateway's share of the total requests that an endpoint may get.
 
-        zone is the endpoint's.
+        zone is the endpoint's zone. The total is per window of the limit in question.
         """
-        places = self.places.get(endpoint)
-        if places is None:
-            places = self.places[endpoint] = Places(zone)
-            self.count_before(endpoint, places, self.members.items(), 1)
+        preceding = self.preceding.get(endpoint)
+        if preceding is None:
+            preceding = self.preceding[endpoint] = PrecedingGateways(zone)
+            self.count_preceding(endpoint, preceding, self.members.items(), 1)
         even, rest = divmod(total, 1 + len(self.members))
         if even:
-            return even + (places.in_all < rest)
+            return even + (preceding.in_total < rest)
         in_zone = self.zone_sizes[zone] + (zone == self.zone)
         unknown = self.zone_sizes[""]
         outside = 1 + len(self.members) - in_zone - unknown
         if zone == self.zone:
-            return int(places.in_zone < zone_part(total, outside + unknown))
-        part = min(zone_part(total, outside), in_zone + unknown)
-        return int(places.outside < total - part)
+            return int(preceding.in_zone < own_zone_total(total, outside + unknown))
+        zone_total = min(own_zone_total(total, outside), in_zone + unknown)
+        return int(preceding.outside < total - zone_total)
 
-    def count_before(
+    def count_preceding(
         self,
         endpoint: str,
-        places: Places,
+        preceding: PrecedingGateways,
         members: Iterable[tuple[str, str]],
         change: int,
     ) -> None:
-        """Count those of members that go before this gateway in, or out."""
-        own = place_of(self.host, endpoint)
+        """Add change to the counts for each member that ranks before this gateway."""
+        own_key = sort_key(self.host, endpoint)
         for host, zone in members:
-            if place_of(host, endpoint) < own:
-                places.take(zone, change)
+            if sort_key(host, endpoint) < own_key:
+                preceding.adjust(zone, change)
+
 
+def own_zone_total(total: int, outside: int) -> int:
+    """Return how many of the total go to gateways in the endpoint's zone.
 
-def zone_part(total: int, outside: int) -> int:
-    """Return how many of total go to the endpoint's zone; outside are not in it."""
-    return max(int(total * ZONE_PART), 1, total - outside)
+    outside is the number of gateways that are not in it.
+    """
+    return max(int(total * OWN_ZONE_SHARE), 1, total - outside)
 
 
-def place_of(host: str, endpoint: str) -> tuple[int, str]:
-    """Return where a gateway stands in the order of an endpoint."""
+def sort_key(host: str, endpoint: str) -> tuple[int, str]:
+    """Return the sort key of a gateway in an endpoint's order."""
     return (score(host, endpoint), host)
--- a/packages/fescuedrum/src/fescuedrum/decisions/stopping.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/stopping.py
@@ -1,72 +1,73 @@
-"""Decide how a process that was told to stop treats new and running requests.
+"""Decide how a stopping process treats new and running requests (graceful shutdown).
 
 Load pattern: the processes of a site are replaced one after the other, each with some
-seconds between its signal and its end. The balancer learns from two unanswered or
-refused questions that it should send nowhere near; callers keep their connections and
-go on using them; and while most of a zone's processes are stopping at the same time the
-balancer sends to them all the same. A process that takes requests until its end cuts
-the last ones off in the middle; one that refuses at once turns away what it could have
-served.
+seconds between its stop signal and its end. The balancer stops sending requests after
+two health checks that were refused or not answered; callers keep using their open
+connections; and while most of a zone's processes are stopping at the same time, the
+balancer sends requests to them regardless. A process that accepts requests until its
+end aborts the last ones; one that refuses at once turns away requests that it could
+have served.
 
-So requests are taken until the balancer has noticed, while a usual answer still fits.
-After that only those are taken whose own deadline is before the process's end: they
-can't be cut, however long their answers take. All others are refused, to be sent
-elsewhere. The process ends as soon as nothing runs and no more comes.
+So requests are accepted until the balancer has noticed, while a usual answer still
+fits. After that only requests are accepted whose own deadline is before the end of the
+process: they can't be aborted, however long their answers take. All others are refused,
+to be sent elsewhere. The process ends as soon as nothing runs and no more requests
+come.
 """
 
-# The balancer asks once a second and needs two misses.
+# The balancer checks once per second and stops sending after two failed checks.
 NOTICE_SECONDS = 2.6
-# Nearly all answers have ended by then.
+# Nearly all answers take no longer than this.
 ANSWER_SECONDS = 4.5
-# For the last bytes to leave and the sockets to close.
+# Reserved for sending the last bytes and closing the sockets.
 MARGIN_SECONDS = 0.6
-# Callers send several requests a second while any still come.
+# Callers that still use the process send several requests per second.
 QUIET_SECONDS = 0.5
 
 
 class StopPlan:
-    """Follow one stop; times are loop time in seconds."""
+    """Schedule of one graceful shutdown; times are loop time in seconds."""
 
     __slots__ = ("began", "closing", "last_taken", "latest", "noticed")
 
     def __init__(self, now, stop_seconds, notice_seconds=NOTICE_SECONDS):
         self.began = now
         self.last_taken = now
-        # When the balancer has noticed.
+        # When the balancer has noticed the stop.
         self.noticed = now + notice_seconds
-        # When the process ends whatever still runs.
+        # When the process aborts the requests that still run.
         self.latest = now + max(stop_seconds - MARGIN_SECONDS, 0.0)
-        # Whether connections are being closed: nothing runs, or the time is over.
+        # Whether connections are being closed: no request runs, or the time is up.
         self.closing = False
 
     def accepts(self, now, deadline):
-        """Tell whether a request may begin now that is given up at its deadline.
+        """Return whether a request with this deadline may start now.
 
-        Guards against a stream that lasts longer than the process and breaks off in
-        the middle: it came on a kept connection, or while all of a zone were stopping.
-        How long an answer takes is not known beforehand, but its deadline is.
+        Guards against a stream that outlasts the process and is aborted: it came on an
+        open connection, or while all processes of a zone were stopping. How long an
+        answer takes is not known in advance, but its deadline is.
         """
         if self.closing:
-            # It would be cut within moments.
+            # The request would be aborted almost immediately.
             return False
         if deadline <= self.latest:
             return True
         return not self.is_noticed(now) and now < self.latest - ANSWER_SECONDS
 
     def is_noticed(self, now):
-        """Tell whether the balancer sends here no longer."""
+        """Return whether the balancer has stopped sending requests here."""
         return now >= self.noticed
 
     def is_over(self, now):
-        """Tell whether what still runs is cut."""
+        """Return whether the requests that still run must be aborted."""
         return now >= self.latest
 
     def record_accepted(self, now):
-        """Note that a request was taken."""
+        """Record that a request was accepted."""
         self.last_taken = now
 
     def may_end(self, now, running):
-        """Tell whether the process may end while so many requests run."""
+        """Return whether the process may end with this many requests running."""
         if self.is_over(now):
             return True
         if running or not self.is_noticed(now):
@@ -74,5 +75,5 @@
         return now - self.last_taken >= QUIET_SECONDS
 
     def close(self):
-        """Take nothing from now on."""
+        """Accept no more requests."""
         self.closing = True
--- a/tests/unit/test_coldness.py
+++ b/tests/unit/test_coldness.py
@@ -1,4 +1,4 @@
-"""Check that all gateways together send a cold endpoint no more than it bears."""
+"""Check that all gateways together keep to the request limit of a cold endpoint."""
 
 import asyncio
 
@@ -20,7 +20,7 @@
 
 
 def build_shares(hosts, zones=1):
-    """Return what each gateway knows of its part when all know each other."""
+    """Return the shares of gateways that all know each other."""
     members = {host: zone_of(host, zones) for host in hosts}
     shares = []
     for host in hosts:
@@ -40,7 +40,7 @@
 def test_any_number_of_gateways_stays_under_the_bound_together(
     count, cold_per_second, zones
 ):
-    """A cold engine that bears 26 requests a second fails under one from each of 40."""
+    """A cold engine for 26 requests per second fails under one from each of 40."""
     shares = build_shares(GATEWAYS[:count], zones)
     total = cold_request_limit(cold_per_second, FACTOR, SLACK)
     for endpoint in ENDPOINTS[:10]:
@@ -48,24 +48,24 @@
         assert sent == total <= cold_per_second * FACTOR + SLACK
 
 
-def test_gateways_of_an_endpoints_zone_get_most_of_its_bound():
-    """Half of a zone's engines stand idle: its gateways may not send there.
+def test_gateways_of_an_endpoints_zone_get_most_of_its_limit():
+    """Half of a zone's engines stay idle, because its gateways may not send to them.
 
-    With 98 gateways and a bound of 24, any of them has a part of each fourth engine
-    only, while requests go to the engines of the own zone first.
+    With 98 gateways and a limit of 24, each gateway has a share at a quarter of the
+    engines only, while requests go to the engines of the own zone first.
     """
     shares = build_shares(GATEWAYS[:98], zones=5)
-    near = [share for share in shares if share.zone == "zone-0"]
-    far = [share for share in shares if share.zone != "zone-0"]
+    inside = [share for share in shares if share.zone == "zone-0"]
+    outside = [share for share in shares if share.zone != "zone-0"]
     for endpoint in ENDPOINTS[:10]:
-        assert total_sent(near, endpoint, 24) == 16
-        assert total_sent(far, endpoint, 24) == 8
+        assert total_sent(inside, endpoint, 24) == 16
+        assert total_sent(outside, endpoint, 24) == 8
 
 
-def test_a_gateway_whose_zone_is_unknown_has_room_left_in_either():
-    """A cold engine fails: gateways that have not heard each other overrun it.
+def test_a_gateway_whose_zone_is_unknown_counts_inside_and_outside_the_zone():
+    """A cold engine fails, overloaded by gateways that have not heard each other.
 
-    They only know addresses of each other, and each takes itself for the first.
+    They know only each other's addresses, and each assumes that it ranks first.
     """
     hosts = GATEWAYS[:98]
     shares = build_shares(hosts, zones=5)
@@ -79,38 +79,38 @@
         assert total_sent(shares, endpoint, 24) <= 24
 
 
-def test_every_gateway_has_endpoints_to_choose_from_and_they_differ():
-    """A gateway finds no engine that it may send to, while others' callers are served.
+def test_shares_are_spread_evenly_over_gateways():
+    """A gateway has no engine that it may send to, while others serve their callers.
 
-    With the same gateways in front at each engine all the rest would be left out.
+    It happens if the same gateways rank first at every engine.
     """
     shares = build_shares(GATEWAYS[:46], zones=1)
     total = cold_request_limit(14, FACTOR, SLACK)
-    reach = [
+    allowed_totals = [
         sum(share.allowed(endpoint, "zone-0", total) for endpoint in ENDPOINTS)
         for share in shares
     ]
     mean = total * len(ENDPOINTS) / len(shares)
-    assert min(reach) > mean / 2
-    assert max(reach) < mean * 2
+    assert min(allowed_totals) > mean / 2
+    assert max(allowed_totals) < mean * 2
 
 
-def test_a_gateway_that_comes_or_goes_moves_one_place_at_each_endpoint():
-    """Parts that were dealt anew at each restart would not add up for a moment."""
+def test_a_gateway_that_joins_or_leaves_moves_one_rank_at_each_endpoint():
+    """If a restart changed all shares, they would exceed the limit for a moment."""
     hosts = GATEWAYS[:40]
     total = cold_request_limit(14, FACTOR, SLACK)
     share = build_shares(hosts)[0]
     before = [share.allowed(endpoint, "zone-0", total) for endpoint in ENDPOINTS]
-    ranks = {name: places.in_all for name, places in share.places.items()}
+    ranks = {name: preceding.in_total for name, preceding in share.preceding.items()}
     share.follow(dict.fromkeys(hosts[1:-1], "zone-0"))
-    assert all(0 <= ranks[name] - share.places[name].in_all <= 1 for name in ranks)
+    assert all(0 <= ranks[name] - share.preceding[name].in_total <= 1 for name in ranks)
     share.follow(dict.fromkeys(hosts[1:], "zone-0"))
     after = [share.allowed(endpoint, "zone-0", total) for endpoint in ENDPOINTS]
     assert after == before
 
 
-def test_gateways_that_know_different_members_overrun_by_no_more_than_those():
-    """Some have not yet heard of the last ones that started; the bound has room."""
+def test_gateways_that_know_different_members_stay_under_the_limit():
+    """Some gateways have not yet heard of the ones that started last."""
     total = cold_request_limit(14, FACTOR, SLACK)
     old, new = GATEWAYS[:36], GATEWAYS[36:40]
     shares = build_shares(old) + build_shares(old + new)[-len(new) :]
@@ -118,12 +118,12 @@
     assert most <= 14 * FACTOR + SLACK
 
 
-def test_a_service_without_a_bound_has_none():
+def test_a_service_without_a_cold_rate_has_no_limit():
     assert cold_request_limit(0, FACTOR, SLACK) is None
 
 
-def test_gateways_that_were_only_told_of_count_until_they_are_forgotten():
-    """One that has just started takes the whole bound: it has heard nobody yet."""
+def test_gateways_known_by_address_only_count_until_they_are_forgotten():
+    """A gateway that has just started takes the whole limit: it has heard no other."""
 
     async def run():
         known = peers.Peers(build_settings("one", GATEWAYS[0], (1, 2, 3)), 1)
@@ -136,8 +136,8 @@
     assert run_paused(run()) == (40, 1)
 
 
-def test_a_gateway_that_leaves_counts_as_long_as_it_runs():
-    """Its callers' requests still go to the endpoints, and the others fill its part."""
+def test_a_leaving_gateway_counts_as_long_as_it_runs():
+    """It still sends requests to the endpoints while the others use its share."""
 
     async def run():
         known = peers.Peers(build_settings("one", GATEWAYS[0], (1, 2, 3)), 1)
--- a/tests/unit/test_routing.py
+++ b/tests/unit/test_routing.py
@@ -1,4 +1,4 @@
-"""Check the choice of an endpoint, by where requests go and how long they take."""
+"""Check routing, outlier ejection and circuit breakers."""
 
 import random
 from collections import Counter
@@ -6,8 +6,8 @@
 import pytest
 from support.builders import build_candidate
 
-from fescuedrum.decisions.breakers import FAILURES, Breaker
-from fescuedrum.decisions.outliers import MAXIMUM_SHARE, OutlierDetector
+from fescuedrum.decisions.breakers import FAILURES_TO_OPEN, Breaker
+from fescuedrum.decisions.outliers import MAXIMUM_EJECTED_SHARE, OutlierDetector
 from fescuedrum.decisions.routing import EndpointView, RoutingPolicy, RoutingPreference
 
 
@@ -26,7 +26,7 @@
 HERE = RoutingPreference(zone="zone-1")
 
 
-def test_the_own_zone_goes_first_while_it_has_room():
+def test_the_own_zone_is_preferred_while_it_has_capacity():
     near = build_candidate("near", running=3)
     far = build_candidate("far", zone="zone-2")
     view = build_view(near, far)
@@ -35,11 +35,11 @@
     assert view.choose(HERE, random.Random(1)) is far
 
 
-def test_entries_do_not_all_choose_the_endpoint_that_looked_idle_last():
-    """Ten entries see the same late report in which one endpoint is idle.
+def test_entries_do_not_all_choose_the_endpoint_last_reported_idle():
+    """Many entries see the same delayed report in which one endpoint is idle.
 
-    If each took the least loaded, that endpoint would get every request at once
-    and fall over while eleven others stood idle.
+    If each chose the least loaded, that endpoint would get every request at once and
+    fail, while the eleven others got none.
     """
     candidates = [build_candidate(f"e{index}", running=1) for index in range(12)]
     candidates[0].running = 0
@@ -53,8 +53,8 @@
     assert shares[RoutingPolicy.LEAST_REPORTED] == 1000
 
 
-def test_own_sends_since_a_late_report_count():
-    """Half a second passes between reports, and hundreds of requests are sent in it."""
+def test_requests_sent_since_the_last_report_count():
+    """Hundreds of requests are sent in the half second between two reports."""
     view = build_view(build_candidate("a", limit=10), build_candidate("b", limit=10))
     chooser = random.Random(2)
     sent = Counter()
@@ -65,24 +65,25 @@
     assert max(sent.values()) <= 12
 
 
-def test_who_sends_too_much_does_not_gather_the_others_work():
+def test_one_organisations_backlog_does_not_concentrate_the_work_of_others():
     """One organisation's backlog is a little shorter at one of three full agents.
 
-    Comparing whole queues would send everyone else's work there, where it would wait
-    behind itself, while at the other two it would be served at once.
+    Comparing whole queues would send all work of the other organisations to that agent,
+    where their requests would wait behind each other, although the other two agents
+    would serve them at once.
     """
     candidates = [build_candidate(f"e{index}") for index in range(3)]
     view = build_view(*candidates)
     for candidate, waiting in zip(candidates, (100, 140, 141), strict=True):
         report(view, candidate, 4, waiting=waiting)
-    wish = RoutingPreference(zone="zone-1", organisation="club")
+    preference = RoutingPreference(zone="zone-1", organisation="club")
     chooser = random.Random(3)
     for _ in range(30):
-        view.sent(view.choose(wish, chooser), "club")
+        view.sent(view.choose(preference, chooser), "club")
     assert max(each.own["club"] for each in candidates) <= 13
 
 
-def test_a_report_that_has_seen_the_sends_does_not_count_them_twice():
+def test_requests_included_in_a_report_are_not_counted_twice():
     candidate = build_candidate("a", limit=10)
     view = build_view(candidate)
     for _ in range(3):
@@ -96,35 +97,37 @@
     assert view.outstanding == 2
 
 
-def test_a_prefix_stays_at_its_home_until_that_is_overloaded():
-    """All shops ask with the same long instructions; one engine has them cached.
+def test_a_prefix_stays_at_its_endpoint_until_that_is_overloaded():
+    """All requests begin with the same instructions, which one engine has cached.
 
-    Without affinity each engine computes them anew; without a bound on it one engine
-    gets everything.
+    Without affinity each engine computes them again; without a load bound one engine
+    gets all requests.
     """
     candidates = [build_candidate(f"e{index}", limit=16) for index in range(12)]
     view = build_view(*candidates)
     chooser = random.Random(4)
-    wish = RoutingPreference(zone="zone-1", prefix="instructions")
-    home = view.choose(wish, chooser)
-    assert {view.choose(wish, chooser) for _ in range(50)} == {home}
+    preference = RoutingPreference(zone="zone-1", prefix="instructions")
+    home = view.choose(preference, chooser)
+    assert {view.choose(preference, chooser) for _ in range(50)} == {home}
     for _ in range(96):
-        view.sent(view.choose(wish, chooser))
+        view.sent(view.choose(preference, chooser))
     assert home.outstanding <= 16
     assert sum(each.outstanding for each in candidates) == 96
 
 
 def test_an_endpoint_that_was_tried_is_not_chosen_again():
     view = build_view(*(build_candidate(f"e{index}") for index in range(5)))
-    wish = RoutingPreference(zone="zone-1", tried=frozenset(("e0", "e1", "e2", "e3")))
-    chosen = {view.choose(wish, random.Random(seed)).name for seed in range(50)}
+    preference = RoutingPreference(
+        zone="zone-1", tried=frozenset(("e0", "e1", "e2", "e3"))
+    )
+    chosen = {view.choose(preference, random.Random(seed)).name for seed in range(50)}
     assert chosen == {"e4"}
     all_tried = RoutingPreference(tried=frozenset(f"e{index}" for index in range(5)))
     assert view.choose(all_tried, random.Random(1)) is None
 
 
 @pytest.mark.parametrize("policy", list(RoutingPolicy))
-def test_what_is_taken_out_gets_nothing_and_comes_back(policy):
+def test_a_removed_endpoint_gets_nothing_until_it_is_added_again(policy):
     candidates = [build_candidate(f"e{index}") for index in range(4)]
     view = build_view(*candidates, policy=policy)
     chooser = random.Random(1)
@@ -144,8 +147,8 @@
         outliers.report(name, delay, answers, now)
 
 
-def test_a_slow_endpoint_is_ejected_and_gently_returned():
-    """One engine of twelve runs five times slower; every twelfth caller waits."""
+def test_a_slow_endpoint_is_ejected_and_restored_by_trials():
+    """One engine of twelve is five times slower, so every twelfth caller waits."""
     outliers = OutlierDetector()
     delays = {f"e{index}": 0.01 for index in range(12)}
     delays["e3"] = 0.05
@@ -166,18 +169,18 @@
 
 
 def test_ejection_is_bounded_when_many_are_slow():
-    """A new model makes half of the engines slower; they must go on serving."""
+    """A new model makes almost half of the engines slower; most must go on serving."""
     outliers = OutlierDetector()
     delays = {f"e{index}": 0.01 if index < 7 else 0.09 for index in range(12)}
     for step in range(20):
         report_all(outliers, delays, step + 1, step * 0.5)
     allowed = sum(outliers.allows(name, 10.0) for name in delays)
-    assert allowed >= 12 * (1 - MAXIMUM_SHARE)
+    assert allowed >= 12 * (1 - MAXIMUM_EJECTED_SHARE)
 
 
-def test_a_breaker_opens_tries_once_and_closes():
+def test_a_breaker_opens_allows_one_trial_and_closes():
     breaker = Breaker()
-    for _ in range(FAILURES):
+    for _ in range(FAILURES_TO_OPEN):
         assert breaker.allows(0.0)
         breaker.failed(0.0)
     assert not breaker.allows(0.5)
