--- a/tests/unit/test_admission.py
+++ b/tests/unit/test_admission.py
@@ -1,4 +1,4 @@
-"""Check what callers receive under overload, beside a queue that takes everything."""
+"""Check what callers receive under overload, against a queue that admits everything."""
 
 import random
 
@@ -27,7 +27,7 @@
 
 
 def goodput(endpoint):
-    """Return the share of the capacity that was of use to callers."""
+    """Return the share of the capacity spent on answers that were in time."""
     return endpoint.in_time() / (PLACES * SECONDS)
 
 
@@ -41,9 +41,10 @@
 
 @pytest.mark.parametrize("factor", [1, 2, 5])
 def test_goodput_holds_under_overload(factor):
-    """More arrives than can be served, for thirty times as long as callers wait.
+    """More requests arrive than can be served, for fifteen times callers' patience.
 
-    A queue that takes everything soon serves only requests whose callers have gone.
+    A queue that admits everything soon serves only requests whose callers have given
+    up.
     """
     kept = goodput(overload(build(FairQueue()), factor))
     assert kept >= (0.90 if factor == 1 else 0.95)
@@ -52,13 +53,13 @@
         assert lost < 0.5
 
 
-def test_what_is_admitted_is_in_time():
+def test_admitted_requests_end_in_time():
     endpoint = overload(build(FairQueue()), 3)
     late = [work for work, end, _ in endpoint.finished if end > work.deadline]
     assert len(late) <= 0.01 * len(endpoint.finished)
 
 
-def test_refusals_fall_evenly_on_equals_and_carry_a_time_to_return():
+def test_refusals_are_even_among_equals_and_carry_a_retry_time():
     endpoint = overload(build(FairQueue()), 3)
     received = [endpoint.received(name) for name in "abc"]
     assert min(received) >= 0.97 * max(received)
@@ -67,8 +68,8 @@
     assert percentile(retries, 0.99) <= PATIENCE * 2
 
 
-def test_a_hot_caller_is_refused_and_the_others_are_not():
-    """One organisation sends ten times its share; the others keep within theirs."""
+def test_only_the_organisation_above_its_share_is_refused():
+    """One organisation sends ten times its share; the others stay within theirs."""
     refused, p95 = {}, {}
     for queue in (FairQueue(), FifoQueue()):
         chooser = random.Random(5)
@@ -86,9 +87,9 @@
 
 
 def test_a_wrong_prediction_corrects_itself():
-    """A cold start was slow; all later deadlines look out of reach.
+    """After a slow cold start, the prediction exceeds every deadline.
 
-    If the idle endpoint refused on that word, nothing would run to disprove it.
+    If the idle endpoint refused requests because of it, no answer would correct it.
     """
     gate = build(FairQueue())
     gate.admission.observe(1000.0, 1.0, 1.0)
@@ -100,8 +101,8 @@
     assert gate.admission.seconds_per_cost < 2.0
 
 
-def test_what_waits_and_can_not_be_in_time_is_refused_at_once():
-    """The endpoint becomes slow after work was admitted to the queue."""
+def test_queued_requests_that_can_not_end_in_time_are_refused_at_once():
+    """The endpoint becomes slow after requests were admitted to the queue."""
     gate = build(FairQueue())
     works = [build_work(deadline=10.0) for _ in range(PLACES + 3)]
     for work in works:
--- a/tests/unit/test_allowances.py
+++ b/tests/unit/test_allowances.py
@@ -1,4 +1,4 @@
-"""Check organisations' limits and the shares that rules promise."""
+"""Check organisations' limits and the shares that sharing rules guarantee."""
 
 import random
 
@@ -12,7 +12,7 @@
 
 
 def arrive(allowances, limits, rate, seconds, *, entries=1, tokens=1.0, seed=1):
-    """Send requests at random; return how many were granted."""
+    """Send requests at random times; return how many were granted."""
     chooser = random.Random(seed)
     now, granted = 0.0, 0
     while now < seconds:
@@ -23,13 +23,13 @@
     return granted
 
 
-def test_a_caller_that_runs_wild_gets_its_rate_and_no_more():
-    """A club's program repeats its question in a loop, a hundred times a second."""
+def test_an_organisation_above_its_rate_gets_its_rate_and_no_more():
+    """A client program sends requests in a loop, a hundred per second."""
     granted = arrive(OrganisationUsage(), Limits(requests_per_second=5.0), 100, 60)
     assert 5 * 60 <= granted <= 5 * (60 + BURST_SECONDS) + 1
 
 
-def test_a_caller_within_its_rate_is_hardly_ever_refused():
+def test_an_organisation_within_its_rate_is_rarely_refused():
     limits = Limits(requests_per_second=10.0)
     chooser = random.Random(3)
     entries = [OrganisationUsage() for _ in range(6)]
@@ -44,7 +44,7 @@
     assert refused < 0.03 * sent
 
 
-def test_long_prompts_count_by_their_tokens():
+def test_the_token_rate_is_limited():
     limits = Limits(tokens_per_second=100.0)
     granted = arrive(OrganisationUsage(), limits, 20, 60, tokens=50.0)
     assert 2 * 60 <= granted <= 2 * (60 + BURST_SECONDS) + 1
@@ -59,7 +59,7 @@
     assert exceeded.seconds == pytest.approx((1000 - 50 - 10 + 1) / 10)
 
 
-def test_places_are_given_back_and_each_entry_grants_one_at_least():
+def test_ended_requests_free_their_places_and_each_entry_grants_at_least_one():
     allowances = OrganisationUsage()
     limits = Limits(concurrent_requests=4)
     for _ in range(2):
@@ -71,7 +71,7 @@
     assert OrganisationUsage().start_request("club", limits, 1.0, 390, 0.0) is None
 
 
-def test_without_limits_nothing_is_bounded():
+def test_without_limits_nothing_is_refused():
     assert arrive(OrganisationUsage(), Limits(), 100, 10) > 900
 
 
@@ -79,8 +79,8 @@
     return sum(weights[name] for name in names) / sum(weights.values())
 
 
-def test_a_promised_share_stays_with_every_newcomer():
-    """A large customer was promised a fifth; with each new club it got less."""
+def test_a_guaranteed_share_holds_when_organisations_are_added():
+    """With weights alone, each new organisation lowers a customer's promised share."""
     rule = documents.SharingRule("floor", "advice", ["large", "twin"], 0.2)
     for count in (2, 10, 100):
         clubs = [build_organisation(f"club-{n}") for n in range(count)]
@@ -95,7 +95,7 @@
         assert effective_weights(document, "other")["large"] == 3.0
 
 
-def test_floors_and_ceilings_hold_together():
+def test_minimum_and_maximum_shares_hold_together():
     names = ["a", "b", "c", "d"]
     rules = [
         documents.SharingRule("1", "advice", ["a"], 0.5),
--- a/tests/unit/test_document_in_force.py
+++ b/tests/unit/test_document_in_force.py
@@ -1,4 +1,4 @@
-"""Check that what operators write in the document is what callers meet."""
+"""Check that settings in the operators' document apply to callers' requests."""
 
 import pytest
 from support.builders import build_document, build_organisation
@@ -27,7 +27,7 @@
     return entry
 
 
-async def test_the_service_says_what_may_be_repeated_and_how_long_it_is_of_use(
+async def test_the_service_sets_idempotent_methods_and_the_default_deadline(
     monkeypatch,
 ):
     script = Script()
@@ -42,7 +42,7 @@
     assert given - first > 6
 
 
-async def test_a_class_gives_the_priority_and_only_its_organisations_may_name_it(
+async def test_a_class_sets_the_priority_and_only_its_organisations_may_use_it(
     monkeypatch,
 ):
     script = Script()
@@ -55,7 +55,7 @@
     assert [call.priority for call in script.calls] == [1]
 
 
-async def test_a_caller_above_its_limit_is_refused_at_once_and_told_when_to_return(
+async def test_a_caller_above_its_limit_is_refused_at_once_with_a_retry_time(
     monkeypatch,
 ):
     script = Script()
--- a/tests/unit/test_following.py
+++ b/tests/unit/test_following.py
@@ -1,4 +1,4 @@
-"""Check who follows the platform's store while others rest."""
+"""Check which processes read the platform's store and which don't."""
 
 from fescuedrum.decisions.following import STORE_READERS, must_read_store
 
@@ -6,7 +6,7 @@
 
 
 def readers(alive, answered):
-    """Return who reads once all have heard whom the store answers."""
+    """Return the hosts that read once all know which hosts the store answers."""
     return {
         host
         for host in alive
@@ -14,7 +14,7 @@
     }
 
 
-def test_as_many_read_as_are_meant_to():
+def test_the_number_of_readers_is_bounded():
     assert len(readers(HOSTS, HOSTS)) == STORE_READERS
 
 
@@ -22,24 +22,23 @@
     assert readers(HOSTS, []) == set(HOSTS)
 
 
-def test_others_step_in_for_readers_that_are_turned_away():
-    """A zone taken out gets work for as long as the store turns its readers away.
+def test_others_replace_readers_that_the_store_does_not_answer():
+    """A zone that was taken out keeps getting work, as no process learns of the change.
 
-    The store answers everyone but the processes that read; the others rest, and
-    nobody learns of a change.
+    The store answers every process except the readers, and the others don't read.
     """
-    turned_away = readers(HOSTS, HOSTS)
-    answered = [host for host in HOSTS if host not in turned_away]
-    stepped_in = readers(answered, answered)
-    assert len(stepped_in) == STORE_READERS
-    assert not stepped_in & turned_away
+    unanswered = readers(HOSTS, HOSTS)
+    answered = [host for host in HOSTS if host not in unanswered]
+    replacements = readers(answered, answered)
+    assert len(replacements) == STORE_READERS
+    assert not replacements & unanswered
 
 
-def test_each_side_of_a_cut_has_readers():
+def test_each_side_of_a_partition_has_readers():
     for zone in ("10.1.", "10.2.", "10.3."):
         side = [host for host in HOSTS if host.startswith(zone)]
         assert len(readers(side, side)) == STORE_READERS
 
 
-def test_readers_are_of_several_zones():
+def test_readers_are_spread_over_zones():
     assert len({host[:5] for host in readers(HOSTS, HOSTS)}) > 1
--- a/tests/unit/test_leading.py
+++ b/tests/unit/test_leading.py
@@ -1,4 +1,4 @@
-"""Check that a duty is where it is done fastest, and is seldom handed on."""
+"""Check that the widest link gets the duty, and that the duty rarely moves."""
 
 import itertools
 
@@ -23,17 +23,18 @@
 
 
 def test_the_widest_link_leads():
-    """Every change of a map takes half a second longer than it must.
+    """Every map change takes half a second longer than necessary.
 
-    The first by its address leads, and its link is the narrowest of all.
+    It happens if the process with the lowest address leads and has the narrowest link.
     """
     assert leader_of(build_candidates(9, wide=(4, 7))).host == "10.0.0.4"
 
 
-def test_restarts_in_turn_hand_the_duty_on_twice_in_all():
-    """Maps lag behind demand for as long as a restart of all gateways takes.
+def test_a_rolling_restart_moves_the_duty_only_twice():
+    """Maps lag behind demand for as long as a rolling restart of the gateways takes.
 
-    The duty is handed on at each restart, and each new holder learns demand anew.
+    It happens if the duty moves at each restart, as each new holder first has to learn
+    the demand.
     """
     candidates = build_candidates(12)
     leaders = [leader_of(candidates)]
--- a/tests/unit/test_limits.py
+++ b/tests/unit/test_limits.py
@@ -1,4 +1,4 @@
-"""Check that an endpoint's limit follows what it can carry."""
+"""Check that an endpoint's concurrency limit adapts to its capacity."""
 
 import random
 
@@ -23,9 +23,9 @@
 
 
 def test_the_ramp_stops_where_delay_doubles():
-    """An engine has sixteen places; beyond them its answers only wait inside.
+    """An engine runs sixteen requests; further ones only wait inside it.
 
-    With the ceiling as the limit each answer would take twice as long for nothing.
+    With the ceiling as the limit, each answer would take twice as long without benefit.
     """
     limit = EndpointLimit(floor=2, ceiling=64, warm_after=5)
     for _ in range(3000):
@@ -34,7 +34,7 @@
     assert 16 <= limit.limit <= 40
 
 
-def test_unannounced_coldness_takes_the_limit_to_the_floor():
+def test_unannounced_coldness_resets_the_limit_to_the_floor():
     limit = build_warm()
     answers = 0
     while limit.phase is Phase.WARM and answers <= 2 * limit.ceiling:
@@ -43,8 +43,8 @@
     assert (limit.limit, limit.phase) == (2, Phase.COLD)
 
 
-def test_one_slow_answer_or_one_failure_is_no_coldness():
-    """A caller sends a request that always fails; the others must not pay for it."""
+def test_single_slow_answers_or_failures_do_not_reset_the_limit():
+    """A caller's request that always fails must not lower the limit for others."""
     limit = build_warm()
     for _ in range(50):
         answer(limit, 1, delay=0.2)
@@ -58,23 +58,24 @@
 
 
 def test_a_cold_endpoint_never_gets_more_than_its_floor():
-    """It turns cold at random and needs ten answers; over the floor it falls over.
+    """The endpoint becomes cold at random times, for the next ten answers.
 
-    The baseline is a fixed limit, which fells it after every cold start.
+    While it is cold, more requests than the floor make it fail. The baseline is a fixed
+    limit, which makes it fail after every cold start.
     """
     chooser = random.Random(11)
     limit = EndpointLimit(floor=2, ceiling=16, warm_after=10)
-    falls = fixed_falls = 0
+    failures = fixed_limit_failures = 0
     answers_since_cold = 0
     for _ in range(20_000):
         if chooser.random() < 0.002:
             answers_since_cold = 0
-            # Its restart cuts what runs, which the agent sees at once.
+            # Its restart aborts the running requests, which the agent sees at once.
             limit.failed(0.0, unavailable=True)
         cold = answers_since_cold < 10
-        falls += cold and limit.limit > 2
-        fixed_falls += cold
+        failures += cold and limit.limit > 2
+        fixed_limit_failures += cold
         answer(limit, 1)
         answers_since_cold += 1
-    assert falls == 0
-    assert fixed_falls > 100
+    assert failures == 0
+    assert fixed_limit_failures > 100
--- a/tests/unit/test_membership.py
+++ b/tests/unit/test_membership.py
@@ -1,4 +1,4 @@
-"""Check who counts as a member, who connects to whom and how often they speak."""
+"""Check membership, the choice of connections and the rate of heartbeats."""
 
 import random
 
@@ -32,7 +32,7 @@
     return membership.members[name].state
 
 
-def test_a_silent_member_is_suspected_before_it_is_dead_and_forgotten_with_the_list():
+def test_a_silent_member_is_suspected_then_dead_and_removed_with_the_list():
     membership = Membership()
     membership.heard(build_beat(), 0.0)
     line = ("a", "agent", "zone-1", "advice")
@@ -47,10 +47,10 @@
     assert membership.update_states(11.0, SILENCE) == ["a"]
 
 
-def test_an_announced_leave_counts_at_once_and_is_not_taken_back():
-    """A driver's summary goes to an endpoint that said a moment ago it would stop.
+def test_an_announced_leave_counts_at_once_and_is_not_revoked():
+    """A request goes to an endpoint that has just announced its stop.
 
-    The heartbeat sent before the leave came after it, over a slower way.
+    It happens if a heartbeat sent before the leave arrives after it, by a slower path.
     """
     membership = Membership()
     membership.heard(build_beat(sequence=4), 0.0)
@@ -62,9 +62,9 @@
 
 
 def test_a_replaced_instance_is_a_new_member():
-    """An instance is replaced under its old address and the version shown is wrong.
+    """The version shown for an instance that was replaced under its address is wrong.
 
-    The new process starts with nothing; late frames of the old one must not count.
+    The new process starts at version 0; late frames of the old one must be ignored.
     """
     membership = Membership()
     membership.heard(build_beat(version=9, leaving=True), 0.0)
@@ -75,7 +75,7 @@
     assert member.incarnation == 2
 
 
-def test_a_member_that_comes_and_goes_is_held_back_longer_each_time():
+def test_a_flapping_member_is_held_back_longer_each_time():
     membership = Membership()
     membership.heard(build_beat("steady"), 0.0)
     waits = []
@@ -89,8 +89,8 @@
     assert membership.damped(60.0) == set()
 
 
-def test_members_that_all_come_and_go_are_not_all_held_back():
-    """A switch fails and mends every few seconds, and then nobody serves at all."""
+def test_members_that_all_flap_are_not_all_held_back():
+    """A switch fails and recovers every few seconds, and no member is left to serve."""
     membership = Membership()
     for moment in range(6):
         for name in "abcd":
@@ -101,17 +101,19 @@
     assert len(membership.damped(9.1)) == 2
 
 
-BEATS = st.tuples(st.integers(1, 3), st.integers(0, 5), st.integers(0, 9))
+HEARTBEATS = st.tuples(st.integers(1, 3), st.integers(0, 5), st.integers(0, 9))
 
 
 @settings(max_examples=100, deadline=None)
-@given(st.lists(BEATS, max_size=40))
-def test_a_process_never_falls_to_a_lower_version_or_an_earlier_one(beats):
+@given(st.lists(HEARTBEATS, max_size=40))
+def test_a_member_never_returns_to_a_lower_version_or_earlier_incarnation(heartbeats):
     membership = Membership()
     seen = []
-    for moment, (incarnation, sequence, version) in enumerate(beats):
-        beat = build_beat(incarnation=incarnation, sequence=sequence, version=version)
-        membership.heard(beat, float(moment))
+    for moment, (incarnation, sequence, version) in enumerate(heartbeats):
+        heartbeat = build_beat(
+            incarnation=incarnation, sequence=sequence, version=version
+        )
+        membership.heard(heartbeat, float(moment))
         member = membership.members["a"]
         seen.append((member.incarnation, member.version))
     order = list(dict.fromkeys(incarnation for incarnation, _ in seen))
@@ -122,7 +124,7 @@
     assert places == sorted(places)
 
 
-def test_few_entries_of_a_zone_read_and_everyone_agrees_who():
+def test_few_entries_of_a_zone_read_and_all_agree_on_them():
     names = [f"entry-{n}" for n in range(20)]
     readers = [name for name in names if topology.is_reader(name, names, "zone-1")]
     assert len(readers) == topology.READERS_PER_ZONE
@@ -132,13 +134,13 @@
     assert readers[1] in after
 
 
-def test_every_endpoint_of_a_small_site_is_linked_and_a_fleet_s_are_bounded():
+def test_a_small_site_is_fully_linked_and_the_links_of_a_fleet_are_bounded():
     small = {"advice": [f"a{n}" for n in range(12)], "bookings": ["b0", "b1", "b2"]}
     assert len(topology.choose_remote_agents("entry-0", small)) == 15
     fleet = {f"s{k}": [f"s{k}-{n}" for n in range(104)] for k in range(10)}
     linked = [topology.choose_remote_agents(f"entry-{n}", fleet) for n in range(390)]
     assert all(len(chosen) <= topology.REMOTE_LINKS for chosen in linked)
-    # Spread evenly: no endpoint is everyone's choice and none is nobody's.
+    # Spread evenly: every endpoint is chosen by some entries and none by very many.
     counts = dict.fromkeys((name for names in fleet.values() for name in names), 0)
     for chosen in linked:
         for name in chosen:
@@ -148,7 +150,7 @@
     assert max(counts.values()) < 3 * mean
 
 
-def test_each_other_zone_has_few_spokespeople_and_the_work_is_spread():
+def test_each_other_zone_has_few_delegates_and_the_work_is_spread():
     names = [f"entry-{n}" for n in range(20)]
     zones = [f"zone-{n}" for n in range(2, 20)]
     talks = {
@@ -161,7 +163,7 @@
     assert max(talks.values()) <= 6
 
 
-def test_heartbeats_slow_down_so_that_their_rate_is_bounded():
+def test_the_rate_of_heartbeats_is_bounded():
     assert send_interval(0.5, 10) == 0.5
     for members in (40, 100, 300, 3000):
         rate = members / send_interval(0.5, members)
@@ -169,9 +171,9 @@
 
 
 def test_reconnects_after_a_restart_of_all_entries_are_spread_out():
-    """A zone's entries restart together and the agents' listeners overflow.
+    """A zone's entries restart together and the agents' listen queues overflow.
 
-    With a fixed wait, all dial in the same instant again and again.
+    With a fixed wait, all entries connect at the same moment at every attempt.
     """
     backoffs = [Backoff(random.Random(seed)) for seed in range(100)]
     for _ in range(8):
@@ -181,10 +183,10 @@
     assert max(slots.count(slot) for slot in slots) < 15
 
 
-def test_a_digest_counts_until_it_is_old_and_never_goes_back():
+def test_a_digest_counts_until_it_expires_and_older_ones_are_ignored():
     digests = ZoneDigests()
     assert digests.take(ZoneSum("z", version=2), age=0.0, now=10.0)
-    # Passed on by a slower way, it is older though it comes later.
+    # It was forwarded by a slower path, so it is older although it arrives later.
     assert not digests.take(ZoneSum("z", version=1), age=3.0, now=11.0)
     ((kept, age),) = digests.current(12.0)
     assert (kept.version, age) == (2, 2.0)
--- a/tests/unit/test_placement.py
+++ b/tests/unit/test_placement.py
@@ -34,7 +34,7 @@
     )
 
 
-def test_the_fewest_requests_go_before_prompts_and_zones():
+def test_the_fewest_requests_take_precedence_over_prompts_and_zones():
     options = [
         build_option("near", requests=2),
         build_option("long", requests=1, tokens=900),
@@ -43,10 +43,10 @@
     assert choose(options).endpoint.name == "far"
 
 
-def test_gateways_that_choose_at_the_same_moment_spread():
+def test_gateways_that_choose_at_the_same_moment_spread_out():
     """Seven gateways choose at once, and one engine of twelve gets all seven requests.
 
-    Each sees the same loads; without chance among equals all take the first.
+    Each sees the same loads; without a random choice among equals all take the first.
     """
     options = [build_option(f"e-{number}") for number in range(12)]
     chosen = collections.Counter(
@@ -55,7 +55,7 @@
     assert max(chosen.values()) <= 14
 
 
-def test_an_endpoint_that_fails_is_left_out_for_longer_each_time():
+def test_a_failing_endpoint_is_excluded_for_longer_each_time():
     history = EndpointHistory()
     options = [build_option("bad", history=history), build_option("good", 3)]
     history.failed(now=10.0)
@@ -67,13 +67,13 @@
     assert choose(options, now=11.5).endpoint.name == "bad"
 
 
-def test_an_endpoint_that_failed_is_better_than_none():
+def test_a_failed_endpoint_is_chosen_if_there_is_no_other():
     history = EndpointHistory()
     history.failed(now=0.0)
     assert isinstance(choose([build_option("a", history=history)]), Chosen)
 
 
-def test_a_cold_endpoint_gets_no_more_than_this_gateways_part():
+def test_a_cold_endpoint_gets_no_more_than_this_gateways_share():
     history = EndpointHistory()
     limits = PlacementLimits(arrivals=lambda endpoint: 2)
     options = [build_option("a", history=history)]
@@ -84,10 +84,10 @@
     assert isinstance(choose(options, limits, 1.05), Chosen)
 
 
-def test_new_callers_find_places_that_returned_ones_must_leave():
+def test_retries_leave_places_free_for_new_callers():
     """After an outage no new caller is answered on time for as long as it lasted.
 
-    Everyone who was refused is back and fills all places; all of them are late anyway.
+    The retries of all refused callers fill every slot, although they are late anyway.
     """
 
     def limits(is_caller_retry):
@@ -105,10 +105,10 @@
     assert choose(full, limits(False)) == Refused(RefusalCause.ALL_FULL)
 
 
-def test_two_endpoints_that_refuse_stand_for_all_until_one_answers():
+def test_two_refusing_endpoints_count_as_service_wide_until_one_answers():
     """A group is down, and each request is refused by one engine after the other.
 
-    One engine that refuses is its own trouble; two at the same time are the group's.
+    A single refusing engine has a problem of its own; two at once mean the group.
     """
     refusals = RecentRefusals()
     refusals.refused("a", now=1.0)
--- a/tests/unit/test_presence.py
+++ b/tests/unit/test_presence.py
@@ -22,18 +22,18 @@
     assert names(presences) == ["b"]
 
 
-def test_an_entry_deleted_while_the_store_answers_is_a_leave():
+def test_a_row_deleted_while_the_store_answers_is_a_leave():
     presences = build_presences("a", "b")
     presences.unlisted("a", now=10.0)
     assert names(presences) == ["b"]
 
 
-def test_entries_that_lapsed_in_an_outage_are_not_leaves():
-    """The store is away for ten seconds, and then every request is refused.
+def test_rows_that_expired_in_an_outage_are_not_leaves():
+    """The store is unreachable for ten seconds, and then every request is refused.
 
-    Engines could not write their entries, which lapsed one after the other. The first
-    read after the outage shows an empty list, though all engines live; their entries
-    are back within two seconds.
+    Engines could not renew their rows, which expired one after the other. The first
+    read after the outage shows an empty list although all engines run; their rows are
+    back within two seconds.
     """
     presences = build_presences("a", "b")
     presences.store_lost()
@@ -47,10 +47,10 @@
     assert names(presences) == ["b"]
 
 
-def test_a_lapse_told_during_an_outage_waits_for_its_end():
-    """A peer tells of a deletion while no gateway reaches the store.
+def test_a_deletion_reported_during_an_outage_waits_for_its_end():
+    """A peer reports a deletion while no gateway reaches the store.
 
-    Nobody can say yet whether the engine is gone or could not write its entry.
+    It is unknown yet whether the engine is gone or could not renew its row.
     """
     presences = build_presences("a")
     presences.store_lost()
@@ -70,7 +70,7 @@
     assert presences.by_name == {}
 
 
-def test_a_second_good_answer_does_not_start_the_wait_again():
+def test_a_second_answer_does_not_restart_the_wait():
     presences = build_presences("a")
     presences.store_lost()
     presences.store_returned(now=20.0)
--- a/tests/unit/test_queueing.py
+++ b/tests/unit/test_queueing.py
@@ -1,4 +1,4 @@
-"""Check whom a full endpoint serves, by what callers receive, beside FIFO."""
+"""Check what callers of a full endpoint receive, compared with a FIFO queue."""
 
 import random
 
@@ -22,7 +22,10 @@
 
 
 def serve_backlog(queue, costs, *, weights=None, seconds=400, places=4):
-    """Keep each organisation backlogged with works of its cost; return the endpoint."""
+    """Keep each organisation backlogged with requests of its cost; return the endpoint.
+
+    The endpoint has run for the given seconds then.
+    """
     queue.set_weights(weights or {})
     endpoint = build_endpoint(queue, places=places)
     for name, cost in costs.items():
@@ -32,25 +35,25 @@
     return endpoint
 
 
-def jain(values):
+def jain_index(values):
     return sum(values) ** 2 / (len(values) * sum(each**2 for each in values))
 
 
 def test_backlogged_organisations_receive_cost_by_weight():
-    """Three organisations send without pause, one only long, one only short requests.
+    """Of three backlogged organisations one sends long requests, one short ones.
 
-    Counting requests in place of cost would give the sender of long ones most.
+    If requests were counted instead of cost, the sender of long ones would get most.
     """
     costs = {"long": 20.0, "short": 1.0, "large": 5.0}
     weights = {"long": 1.0, "short": 1.0, "large": 2.0}
     fair = serve_backlog(FairQueue(), costs, weights=weights)
     portions = [fair.received(name) / weights[name] for name in costs]
-    assert jain(portions) >= 0.99
+    assert jain_index(portions) >= 0.99
     fifo = serve_backlog(FifoQueue(), costs, weights=weights)
-    assert jain([fifo.received(name) / weights[name] for name in costs]) < 0.8
+    assert jain_index([fifo.received(name) / weights[name] for name in costs]) < 0.8
 
 
-def test_guessing_low_gains_nothing():
+def test_low_cost_estimates_gain_nothing():
     """An organisation sends a tenth of the true cost as its estimate."""
     endpoint = build_endpoint(FairQueue())
     for _ in range(300):
@@ -58,13 +61,13 @@
         endpoint.offer("low", 5.0, estimate=0.5)
     endpoint.run_until(200)
     portions = endpoint.received("honest"), endpoint.received("low")
-    assert jain(portions) >= 0.99
+    assert jain_index(portions) >= 0.99
 
 
 def test_an_idle_organisation_saves_up_nothing():
-    """One organisation works all day; the other returns after hours with a batch.
+    """One organisation is busy all day; another returns after hours with a batch.
 
-    With credit for the idle hours the batch would shut the first out for as long.
+    With credit for the idle hours, the batch would shut the first out for as long.
     """
     endpoint = build_endpoint(FairQueue())
     for _ in range(2000):
@@ -78,11 +81,11 @@
     assert abs(gained - endpoint.received("back")) <= BURST
 
 
-def test_use_of_an_idle_endpoint_is_no_debt():
-    """A club uses the endpoint alone all night; at noon the others arrive too.
+def test_use_of_an_idle_endpoint_does_not_count_against_an_organisation():
+    """One organisation uses the endpoint alone all night; others join at noon.
 
-    If its counter had run ahead meanwhile, it would be shut out until theirs had
-    caught up with a night's work.
+    If its counter had run ahead, it would be shut out until the others had received as
+    much service.
     """
     endpoint = build_endpoint(FairQueue())
     for second in range(500):
@@ -99,10 +102,10 @@
 
 
 @pytest.mark.parametrize("burst", [50, 500])
-def test_a_burst_of_one_caller_leaves_the_waits_of_others(burst):
-    """A shop's script sends everything at once while others order as always.
+def test_a_burst_of_one_organisation_does_not_delay_others(burst):
+    """One organisation's script sends a burst while another sends at its usual rate.
 
-    In order of arrival everyone behind the burst waits for all of it.
+    In order of arrival, every request behind the burst waits for all of it.
     """
     waits = {}
     for queue in (FairQueue(), FifoQueue()):
@@ -119,10 +122,10 @@
     assert waits[FifoQueue] >= burst / 4 * 0.8
 
 
-def test_short_requests_among_long_ones():
-    """Round briefs of a hundred seconds stand in line before one-second look-ups.
+def test_long_requests_do_not_delay_short_ones():
+    """Requests of a hundred seconds are queued before one-second look-ups.
 
-    In order of arrival each look-up waits for all briefs before it.
+    In order of arrival, each look-up waits for all long requests before it.
     """
     p95 = {}
     for queue in (FairQueue(), FifoQueue()):
@@ -137,7 +140,7 @@
     assert p95[FairQueue] <= p95[FifoQueue] / 2
 
 
-def test_classes_then_deadlines_inside_an_organisation():
+def test_requests_of_an_organisation_go_by_class_then_deadline():
     queue = FairQueue()
     batch = build_work(deadline=1.0, rank=PriorityClass.BATCH)
     late = build_work(deadline=9.0)
@@ -148,8 +151,8 @@
     assert [queue.pop() for _ in range(4)] == [urgent, early, late, batch]
 
 
-def test_a_class_never_starves_and_priority_buys_no_share():
-    """One organisation marks everything urgent, another sends all as batch."""
+def test_no_class_starves_and_priority_does_not_raise_the_share():
+    """One organisation marks all requests urgent, another sends all as batch."""
     queue = FairQueue()
     served = {"loud": 0, "quiet": 0}
     for _ in range(100):
@@ -167,7 +170,7 @@
     assert oldest in served
 
 
-def test_the_smallest_weight_keeps_a_floor():
+def test_the_smallest_weight_does_not_starve():
     queue = FairQueue()
     queue.set_weights({"large": 100.0, "small": 0.01})
     for _ in range(400):
@@ -177,8 +180,8 @@
     assert served.count("small") >= 7
 
 
-def test_accounts_match_under_any_order_of_steps():
-    """The backlog's sums are kept step by step; they must equal a fresh count."""
+def test_the_sums_are_right_after_any_order_of_operations():
+    """The backlog and length are updated incrementally and must match a recount."""
     chooser = random.Random(3)
     queue = FairQueue()
     waiting, running = [], []
--- a/tests/unit/test_ratelimits.py
+++ b/tests/unit/test_ratelimits.py
@@ -1,4 +1,4 @@
-"""Check that all gateways together keep to the rate that an endpoint names."""
+"""Check that all gateways together keep to the rate that an endpoint announces."""
 
 import asyncio
 
@@ -25,19 +25,19 @@
 from fescuedrum_gateway.process.gateway import Gateway
 from fescuedrum_gateway.process.peers import decode_limits, encode_limits
 
-# What an endpoint in need bears in a window: this multiple of its rate, and these
-# requests beyond.
-BORNE_MULTIPLE = 1.5
-BORNE_SLACK = 5
-# Time after which all gateways keep to a rate that was first named.
+# A limited endpoint tolerates this multiple of its rate in a window, plus this number
+# of requests.
+TOLERATED_MULTIPLE = 1.5
+TOLERATED_SLACK = 5
+# Seconds after which all gateways keep to a newly announced rate.
 CONTACT_SECONDS = 3.0
 
 
-def borne(per_second):
-    return BORNE_MULTIPLE * per_second * WINDOW_SECONDS + BORNE_SLACK
+def tolerated(per_second):
+    return TOLERATED_MULTIPLE * per_second * WINDOW_SECONDS + TOLERATED_SLACK
 
 
-def most_in_a_window(times):
+def most_per_window(times):
     """Return the most arrivals in any span of WINDOW_SECONDS."""
     times = sorted(times)
     return max(
@@ -66,20 +66,20 @@
     zones=strategies.integers(1, 19),
     silent=strategies.booleans(),
 )
-def test_the_parts_of_any_number_of_gateways_are_within_the_rate(
+def test_the_shares_of_any_number_of_gateways_are_within_the_rate(
     per_second, count, zones, silent
 ):
-    """An engine in need gets a request a window from each of 400 gateways."""
+    """A limited engine gets one request per window from each of 400 gateways."""
     limits = RateLimits()
     limits.observe("engine", Limited(per_second), 0.0)
     total = limits.requests("engine", SILENT_SECONDS + 1.0 if silent else 1.0)
     parts = [
         share.allowed("engine", "zone-0", total) for share in build_shares(count, zones)
     ]
-    assert 0 < sum(parts) <= borne(per_second)
+    assert 0 < sum(parts) <= tolerated(per_second)
 
 
-def test_a_limit_holds_until_an_answer_names_none():
+def test_a_limit_holds_until_an_answer_has_none():
     limits = RateLimits()
     assert limits.requests("engine", 0.0) is None
     assert limits.observe("engine", Limited(2.0), 1.0)
@@ -92,23 +92,23 @@
     assert limits.limited() == []
 
 
-def test_an_endpoint_that_nobody_asks_is_asked_by_a_few_after_a_silence():
-    """An engine gets nothing for good: it takes no request in which it could say so."""
+def test_a_silent_endpoint_is_probed_by_a_few_requests():
+    """An engine with rate 0 gets no requests, so no answer of it can end the limit."""
     limits = RateLimits()
     limits.observe("engine", Limited(0.0), 0.0)
     assert limits.requests("engine", SILENT_SECONDS - 1) == 1
     assert limits.requests("engine", SILENT_SECONDS + 1) == PROBE_REQUESTS
 
 
-def test_a_rate_that_cannot_be_read_ends_no_limit():
+def test_a_rate_that_can_not_be_parsed_does_not_end_a_limit():
     limits = RateLimits()
     limits.observe("engine", Limited(1.0), 0.0)
     assert not limits.observe("engine", NotUnderstood("much"), 1.0)
     assert limits.requests("engine", 1.0) == WINDOW_SECONDS
 
 
-def test_the_newest_word_of_an_endpoint_counts_whoever_heard_it():
-    """A gateway that heard of the need, but not of its end, brings the limit back."""
+def test_the_newest_report_of_an_endpoint_counts_from_any_gateway():
+    """A gateway that learned of a limit, but not of its end, restores the limit."""
     here, there = RateLimits(), RateLimits()
     here.observe("engine", Limited(1.0), 1.0)
     there.observe("engine", Limited(1.0), 1.5)
@@ -119,7 +119,7 @@
     assert not here.merge("engine", RateReport(Limited(1.0), 1.9))
 
 
-def test_words_reach_other_gateways_with_their_age():
+def test_reports_are_sent_to_other_gateways_with_their_age():
     here, there = RateLimits(), RateLimits()
     here.observe("limited", Limited(0.5), 10.0)
     here.observe("ended", Limited(0.5), 10.0)
@@ -134,20 +134,20 @@
     ("per_second", "age"),
     [(float("nan"), 0.0), (float("inf"), 0.0), (-1.0, 0.0), (1.0, -5.0)],
 )
-def test_a_report_that_can_not_be_true_is_passed_over(per_second, age):
-    """A process of another deployment sends nonsense, and no request is placed."""
-    told = EndpointLimit(endpoint="engine", per_second=per_second, age=age)
-    assert decode_limits([told], 1.0) == []
+def test_an_invalid_report_is_ignored(per_second, age):
+    """A process of another deployment sends invalid rates, and no request is placed."""
+    report = EndpointLimit(endpoint="engine", per_second=per_second, age=age)
+    assert decode_limits([report], 1.0) == []
 
 
-def test_only_what_a_gateway_heard_itself_is_told_on():
-    """Gateways tell each other of a need that ended long ago, for ever."""
+def test_a_gateway_sends_only_its_own_reports():
+    """Gateways that forward reports would keep alive a limit that ended long ago."""
     here = RateLimits()
     here.merge("engine", RateReport(Limited(1.0), 1.0))
     assert list(here.reports(2.0)) == []
 
 
-def test_an_endpoint_that_starts_anew_has_no_limit():
+def test_a_restarted_endpoint_has_no_limit():
     async def run():
         store = MemoryRowStore()
         settings = build_settings("gateway-1", "10.0.0.1", (1, 2, 3))
@@ -166,10 +166,10 @@
     assert run_paused(collect()) == [[], ["e-1"], [], ["e-1"]]
 
 
-class NeedyFleet(FleetPlay):
-    """Let one engine name a rate from some time on; note when requests reach it."""
+class LimitedFleet(FleetPlay):
+    """Fleet in which one engine announces a rate limit and records its arrivals."""
 
-    needy = "engine-0"
+    limited_engine = "engine-0"
 
     def __init__(self, shape, rate, *, named_at, ended_at=float("inf")):
         super().__init__(shape)
@@ -179,50 +179,50 @@
         self.arrivals = []
 
     def answered(self, gateway, endpoint):
-        if endpoint.name != self.needy:
+        if endpoint.name != self.limited_engine:
             return
         now = self.loop.time()
         self.arrivals.append(now)
-        is_needy = self.named_at <= now < self.ended_at
-        gateway.record_rate(endpoint, Limited(self.rate) if is_needy else Unlimited())
+        is_limited = self.named_at <= now < self.ended_at
+        gateway.record_rate(endpoint, Limited(self.rate) if is_limited else Unlimited())
 
 
 @pytest.mark.parametrize("gateways", [7, 46, 98])
 @pytest.mark.parametrize("rate", [0.1, 1.0, 4.0])
-def test_an_endpoint_in_need_gets_what_it_takes_from_all(gateways, rate):
-    """An engine that asked to be spared is the least loaded, and all send to it."""
+def test_all_gateways_together_keep_to_the_rate(gateways, rate):
+    """An engine that limits its rate is the least loaded, and all send to it."""
 
     async def run():
-        # The others are full: the one in need seems to be the only way out.
+        # The other engines are full, so only the limited one has free slots.
         shape = FleetShape(
             gateways=gateways, engines=10, rate=60.0, seconds=14.0, slots=3
         )
-        fleet = NeedyFleet(shape, rate, named_at=4.0)
+        fleet = LimitedFleet(shape, rate, named_at=4.0)
         return await fleet.run()
 
     fleet = run_paused(run())
     late = [each for each in fleet.arrivals if each > 4.0 + CONTACT_SECONDS]
     assert late
-    assert most_in_a_window(late) <= borne(rate)
+    assert most_per_window(late) <= tolerated(rate)
 
 
-def test_an_endpoint_whose_need_is_over_gets_work_again():
+def test_an_endpoint_whose_limit_has_ended_gets_work_again():
     async def run():
         shape = FleetShape(gateways=20, engines=10, rate=40.0, seconds=16.0, slots=6)
-        fleet = NeedyFleet(shape, 0.5, named_at=4.0, ended_at=8.0)
+        fleet = LimitedFleet(shape, 0.5, named_at=4.0, ended_at=8.0)
         return await fleet.run()
 
     fleet = run_paused(run())
-    assert most_in_a_window([each for each in fleet.arrivals if each > 12.0]) > 8
+    assert most_per_window([each for each in fleet.arrivals if each > 12.0]) > 8
 
 
 @pytest.mark.parametrize("rate", [0.5, 2.0])
-def test_halves_that_do_not_hear_each_other_keep_to_the_rate_together(rate):
-    """A cut between zones makes each half take the whole rate for its own."""
+def test_partitioned_halves_keep_to_the_rate_together(rate):
+    """After a network partition, each half of the gateways uses the whole rate."""
 
     async def run():
         shape = FleetShape(gateways=40, engines=10, rate=60.0, seconds=20.0)
-        fleet = NeedyFleet(shape, rate, named_at=4.0)
+        fleet = LimitedFleet(shape, rate, named_at=4.0)
         hosts = [gateway.settings.host for gateway in fleet.gateways]
         halves = [set(hosts[::2]), set(hosts[1::2])]
         fleet.loop.call_at(8.0, fleet.network.cut, halves)
@@ -230,22 +230,22 @@
 
     fleet = run_paused(run())
     late = [each for each in fleet.arrivals if each > 4.0 + CONTACT_SECONDS]
-    assert most_in_a_window(late) <= borne(rate)
+    assert most_per_window(late) <= tolerated(rate)
 
 
 def test_gateways_that_join_and_leave_keep_to_the_rate():
-    """One that has just started knows of no limit, and of no others that share it."""
+    """A gateway that has just started knows no limit, and no other gateways."""
 
     async def run():
         shape = FleetShape(gateways=20, engines=10, rate=60.0, seconds=20.0)
-        fleet = NeedyFleet(shape, 1.0, named_at=4.0)
+        fleet = LimitedFleet(shape, 1.0, named_at=4.0)
         for at in (8.0, 10.0, 12.0):
             fleet.loop.call_at(at, fleet.replace_gateway, int(at))
         return await fleet.run()
 
     fleet = run_paused(run())
     late = [each for each in fleet.arrivals if each > 4.0 + CONTACT_SECONDS]
-    assert most_in_a_window(late) <= borne(1.0)
+    assert most_per_window(late) <= tolerated(1.0)
 
 
 def test_when_all_endpoints_are_limited_callers_are_refused_at_once():
@@ -266,5 +266,5 @@
         return causes
 
     causes = run_paused(run())
-    # Two requests in a window for each of three engines.
+    # Two requests per window to each of three engines.
     assert causes == [None] * 6 + ["all-rate-limited"] * 4 + [None]
--- a/tests/unit/test_retries.py
+++ b/tests/unit/test_retries.py
@@ -1,4 +1,4 @@
-"""Check retry budgets, hedges' delay and the joining of repeats."""
+"""Check retry budgets, the hedge delay and the continuation of answers by retries."""
 
 import asyncio
 
@@ -9,10 +9,10 @@
 from fescuedrum_entry.request.passage import Differs, Passage
 
 
-def test_an_outage_of_everything_adds_only_the_budget_s_share():
-    """A zone fails and every request of the next minute fails with it.
+def test_retries_in_a_total_outage_stay_within_the_budget():
+    """A zone fails, and every request of the next minute fails with it.
 
-    With three retries for each, the rest would get four times the load and fail too.
+    With three retries each, the other zones would get four times the load and fail too.
     """
     budget = RetryBudget(share=0.2, minimum=3, window=10)
     granted = 0
@@ -23,14 +23,14 @@
     assert granted <= 0.2 * 6000 * 1.1
 
 
-def test_a_quiet_service_may_still_retry_and_yesterday_s_traffic_buys_nothing():
+def test_an_idle_service_may_retry_a_little_and_old_traffic_adds_nothing():
     budget = RetryBudget(share=0.2, minimum=3, window=10)
     for _ in range(1000):
         budget.request(0.0)
     assert sum(budget.spend(1000.0) for _ in range(10)) == 3
 
 
-def test_the_hedge_delay_follows_the_slowest_twentieth():
+def test_the_hedge_delay_approximates_the_95th_percentile():
     hedge = HedgeDelay()
     for index in range(4000):
         hedge.observe(1.0 if index % 50 == 0 else 0.1)
@@ -38,7 +38,7 @@
 
 
 class Reply:
-    """Stand for a caller that has begun to read, or not."""
+    """Fake reply that records its body; started says whether the caller reads it."""
 
     def __init__(self, started):
         self.started = started
@@ -69,24 +69,24 @@
 
 
 @pytest.mark.parametrize("started", [True, False])
-def test_a_repeat_that_gives_the_same_text_completes_the_answer(started):
+def test_a_retry_with_the_same_text_completes_the_answer(started):
     reply = Reply(started)
     asyncio.run(pass_two(reply, b"tension 24", b"tension 24 kg"))
     assert reply.body == b"tension 24 kg"
 
 
 @pytest.mark.parametrize("second", [b"tension 25 kg", b"tens"])
-def test_a_repeat_that_gives_another_text_is_never_joined_to_the_first(second):
-    """A stringer reads half of one advice and half of another as a single one.
+def test_a_retry_with_another_text_never_continues_the_first(second):
+    """A caller gets half of one answer followed by half of another.
 
-    The engine behind the stream dies, the repeat samples other words, and the entry
-    sends its rest after the first half.
+    The engine fails during the stream, the retry samples a different text, and the
+    entry sends the remainder of it after the first half.
     """
     with pytest.raises(Differs):
         asyncio.run(pass_two(Reply(True), b"tension 24", second))
 
 
-def test_what_the_caller_has_not_seen_is_replaced():
+def test_a_body_that_was_not_sent_yet_is_replaced():
     reply = Reply(False)
     asyncio.run(pass_two(reply, b"tension 24", b"other"))
     assert reply.body == b"other"
--- a/tests/unit/test_returns.py
+++ b/tests/unit/test_returns.py
@@ -1,4 +1,4 @@
-"""Check when refused callers are told to come back, and what that is worth."""
+"""Check when refused callers are told to retry, and its effect under overload."""
 
 import random
 
@@ -8,11 +8,11 @@
 from fescuedrum.decisions.returns import PatienceTracker, retry_delay
 
 
-def test_refused_callers_come_back_late_and_not_together():
-    """A group is down for three seconds, and every caller's second try is refused too.
+def test_refused_callers_retry_late_and_not_together():
+    """A group is down for three seconds, and every caller's retry is refused too.
 
-    The group refuses at one moment all that waited in it; they must neither be back
-    while it is down nor all at once, and none may be told more than it keeps to.
+    The group refuses all waiting requests at one moment; they must not be retried
+    while it is down, nor all at once, nor after a longer wait than callers accept.
     """
     chance = random.Random(1)
     waits = [retry_delay(6.5, chance) for _ in range(100)]
@@ -21,10 +21,10 @@
     assert max(waits) - min(waits) > 0.4
 
 
-def test_callers_who_come_back_are_told_from_new_ones():
-    """Callers who are late already take the places of those who would be on time.
+def test_retrying_callers_are_distinguished_from_new_ones():
+    """Callers who are already late take the slots of those who would be on time.
 
-    Told to come back within a second they have as much time left as new ones.
+    If told to retry within a second, they have as much time left as new ones.
     """
     chance = random.Random(1)
     usual = PatienceTracker()
@@ -33,7 +33,7 @@
     assert not any(usual.is_fresh(patience) for patience in back)
 
 
-def test_a_caller_with_less_patience_than_usual_has_come_back():
+def test_a_caller_with_less_patience_than_usual_counts_as_retrying():
     usual = PatienceTracker()
     assert usual.is_fresh(8.05)
     assert usual.is_fresh(8.0)
@@ -42,10 +42,10 @@
     assert usual.is_fresh(None)
 
 
-def test_a_service_in_trouble_is_not_repeated_beyond_the_common_budget():
-    """Every request of a service fails, and repeats double its load.
+def test_retries_of_a_failing_service_stay_within_the_common_budget():
+    """Every request of a service fails, and retries double its load.
 
-    Seven gateways send 10 requests a second each and would repeat each one.
+    Seven gateways send 10 requests per second each and would retry each one.
     """
     budgets = [SharedRetryBudget(0.2, 90, 10.0) for _ in range(7)]
     repeats = 0
@@ -58,9 +58,9 @@
 
 
 def test_as_many_are_on_time_during_a_burst_as_before_it():
-    """Three times the callers come, and fewer of them are on time than before.
+    """Three times as many callers come, and fewer of them are on time than before.
 
-    Those who were refused a moment ago take the places of those who have just come.
+    Retries of refused callers take the slots of new ones.
     """
     usual, factor = 40, 3
     burst = range(10, 18)
--- a/tests/unit/test_rooms.py
+++ b/tests/unit/test_rooms.py
@@ -1,4 +1,4 @@
-"""Check how many requests may be at an endpoint, and what that does to streams."""
+"""Check the limit of requests at an endpoint, and its effect on streams."""
 
 import pytest
 from support.routing import build_route, build_routing_document
@@ -9,28 +9,32 @@
 SLOTS = 5
 PAUSE_SECONDS = 0.12
 EVENTS = 23
-# A pass of seven steps: its own length, and what each request at an engine adds.
+# Base length of a pass of seven steps, and the length that each request at an engine
+# adds.
 BASE_SECONDS = 0.034
 REQUEST_SECONDS = 0.003
-# Part of a pass in which prompts are read: the longer a pass, the more of them.
+# Share of a pass spent on reading prompts; longer passes have more prompts to read.
 PROMPT_PART = 0.3
 ENGINES = 63
 
 
-def engine_room(strain, is_caller_retry=False):
+def engine_limit(strain, is_caller_retry=False):
     return request_limit(
         SLOTS, is_engine=True, is_caller_retry=is_caller_retry, strain=strain
     )
 
 
 def pass_seconds(at_each):
-    """Return the length of a pass: longer passes have more prompts to read."""
+    """Return the length of a pass with this many requests at each engine."""
     fixed = BASE_SECONDS + REQUEST_SECONDS * at_each
     return fixed / (1 - PROMPT_PART)
 
 
-def play(arrivals, seconds, limit):
-    """Play a group; limit(strain) bounds each engine. Return the passes' lengths."""
+def simulate(arrivals, seconds, limit):
+    """Simulate a group and return the lengths of its passes.
+
+    limit(strain) is the maximum number of requests at each engine.
+    """
     running, lengths, now = 0.0, [], 0.0
     while now < seconds:
         length = pass_seconds(running / ENGINES)
@@ -42,38 +46,38 @@
     return lengths
 
 
-def test_all_places_and_a_little_more_are_used_while_passes_are_short():
-    assert engine_room(0.0) > SLOTS
-    assert engine_room(WAITING_STRAIN) > SLOTS
+def test_a_few_requests_may_wait_while_passes_are_short():
+    assert engine_limit(0.0) > SLOTS
+    assert engine_limit(WAITING_STRAIN) > SLOTS
 
 
 @pytest.mark.parametrize("strain", [0.51, 0.85, 1.0, 1.25])
-def test_no_place_stands_empty_and_none_waits_while_passes_are_long(strain):
-    """Callers are refused after an outage while a quarter of the places is empty."""
-    assert engine_room(strain) == SLOTS
-    assert 1 <= engine_room(strain, is_caller_retry=True) < SLOTS
+def test_all_slots_are_used_and_none_waits_while_passes_are_long(strain):
+    """Callers are refused after an outage while a quarter of the slots is free."""
+    assert engine_limit(strain) == SLOTS
+    assert 1 <= engine_limit(strain, is_caller_retry=True) < SLOTS
 
 
-def test_room_only_falls_with_strain():
-    rooms = [engine_room(step / 20) for step in range(22)]
-    assert rooms == sorted(rooms, reverse=True)
+def test_the_limit_never_rises_with_strain():
+    limits = [engine_limit(step / 20) for step in range(22)]
+    assert limits == sorted(limits, reverse=True)
 
 
-def test_a_group_that_a_slow_rank_holds_up_is_used_all_the_same():
-    """Callers are refused although their late answers were worth waiting for.
+def test_a_group_with_a_slow_rank_keeps_its_slots():
+    """Callers are refused although a late answer would be better than none.
 
-    One slow rank makes every pass longer than the pause allowed; fewer requests would
-    not make it shorter.
+    One slow rank makes every pass longer than the pause allowed, and fewer requests
+    would not make it shorter.
     """
-    assert engine_room(1.25) == SLOTS
+    assert engine_limit(1.25) == SLOTS
 
 
-def test_streams_outlive_a_move_of_demand_in_a_large_group():
-    """All streams of a large group are late after each move of demand.
+def test_a_large_group_gets_fewer_requests_before_passes_take_half_the_pause():
+    """All streams of a large group are late after each shift of the demand.
 
-    Passes that were within the pause allowed are three quarters longer for a second.
-    With so many requests that calm passes take half of the pause, all is well in a
-    group of a dozen ranks; in one of 63 the longer ones come near the whole of it.
+    A shift makes passes three quarters longer for a second. If usual passes take half
+    of the pause allowed, this is harmless in a group of a dozen ranks, but in one of 63
+    the longer passes come close to the whole pause.
     """
     strain = 0.5
     small = request_limit(
@@ -89,25 +93,25 @@
     assert calm > SLOTS
 
 
-def test_plain_services_know_no_strain():
+def test_strain_does_not_limit_plain_services():
     assert (
         request_limit(SLOTS, is_engine=False, is_caller_retry=False, strain=9.0) > SLOTS
     )
 
 
-def test_passes_stay_short_under_lasting_load():
+def test_passes_stay_short_under_lasting_overload():
     """Every stream is late for as long as more callers come than usual.
 
-    Each engine takes what it has places for; passes grow with the requests in them,
-    and longer passes keep requests for longer.
+    Each engine runs as many requests as it has slots; passes become longer with the
+    number of requests, and longer passes keep requests at the engine for longer.
     """
-    unbounded = play(250, 20.0, lambda strain: SLOTS + 2)
-    bounded = play(250, 20.0, engine_room)
+    unbounded = simulate(250, 20.0, lambda strain: SLOTS + 2)
+    bounded = simulate(250, 20.0, engine_limit)
     assert bounded[-1] < unbounded[-1]
     assert bounded[-1] < 0.6 * PAUSE_SECONDS
 
 
-def test_the_shortest_pause_of_a_services_routes_counts():
+def test_the_shortest_pause_of_a_services_routes_applies():
     routes = (
         build_route("a", longest_pause=0.2),
         build_route("b", longest_pause=0.12),
--- a/tests/unit/test_stopping.py
+++ b/tests/unit/test_stopping.py
@@ -1,20 +1,20 @@
-"""Check how a process that was told to stop treats its requests."""
+"""Check how a stopping process treats its requests."""
 
 import math
 
 from fescuedrum.decisions.stopping import StopPlan
 
-# Times at which a stream's caller gives up after it was sent, in seconds.
+# Seconds after which the callers of a stream and of a plain request give up.
 STREAM_PATIENCE = 8.05
 PLAIN_PATIENCE = 1.5
 
 
-def test_a_request_that_might_outlast_the_process_is_refused_once_that_is_noticed():
-    """A planned stop cuts a stream in the middle of its answer.
+def test_requests_that_may_outlast_the_process_are_refused_after_the_notice():
+    """A planned stop aborts a stream in the middle of its answer.
 
-    The balancer has long stopped sending here, but a caller comes back on a connection
-    that it kept, or all of a zone's processes are stopping. The stream lasts longer
-    than most, and the process ends before it.
+    The balancer has stopped sending here, but a caller uses its open connection again,
+    or all of a zone's processes are stopping. The stream takes longer than most, and
+    the process ends before it.
     """
     plan = StopPlan(now=100.0, stop_seconds=8.0)
     assert plan.accepts(102.0, 102.0 + STREAM_PATIENCE)
@@ -23,7 +23,7 @@
         assert not plan.accepts(now, math.inf)
 
 
-def test_whatever_is_taken_after_the_notice_ends_before_the_process():
+def test_requests_accepted_after_the_notice_end_before_the_process():
     plan = StopPlan(now=100.0, stop_seconds=8.0)
     for tenths in range(27, 90):
         now = 100.0 + tenths / 10
@@ -32,15 +32,15 @@
             assert taken == (now + patience <= plan.latest), (now, patience)
 
 
-def test_nothing_is_taken_while_connections_are_closed():
-    """A lookup that comes at the last moment is sent on and cut."""
+def test_no_request_is_accepted_while_connections_are_closed():
+    """A request that comes at the last moment is sent on and aborted."""
     plan = StopPlan(now=100.0, stop_seconds=8.0)
     assert plan.accepts(103.2, 103.2 + PLAIN_PATIENCE)
     plan.close()
     assert not plan.accepts(103.2, 103.2 + PLAIN_PATIENCE)
 
 
-def test_a_process_waits_for_the_balancer_and_for_what_runs():
+def test_a_process_waits_for_the_balancer_and_for_running_requests():
     plan = StopPlan(now=0.0, stop_seconds=8.0)
     assert not plan.may_end(1.0, running=0)
     plan.record_accepted(2.5)
@@ -49,7 +49,7 @@
     assert not plan.may_end(3.1, running=1)
 
 
-def test_what_is_refused_does_not_hold_up_a_stop():
+def test_refused_requests_do_not_delay_a_stop():
     plan = StopPlan(now=0.0, stop_seconds=8.0)
     assert not plan.accepts(4.9, 4.9 + STREAM_PATIENCE)
     assert plan.may_end(5.0, running=0)
