--- a/packages/fescuedrum/src/fescuedrum/claims/__init__.py
+++ b/packages/fescuedrum/src/fescuedrum/claims/__init__.py
@@ -1,1 +1,1 @@
-"""Decide, without I/O, who may run a keyed request and what may be said of it."""
+"""Decide, without I/O, which agent may run a keyed request, and its outcome."""
--- a/packages/fescuedrum/src/fescuedrum/claims/frames.py
+++ b/packages/fescuedrum/src/fescuedrum/claims/frames.py
@@ -1,12 +1,12 @@
-"""Drop frames that a connection delivers a second time."""
+"""Detect frames that a connection delivers a second time."""
 
 
 class DuplicateFilter:
-    """Accept each request number of a connection once; an entry only counts up.
+    """Accept each request number of a connection once; entries only count up.
 
-    A refusal is final only if no copy of the refused frame can come after it. The
-    ledger keeps no trace of a request that it refused, so a second copy, which finds
-    room where the first found none, would run what its entry was told did not run.
+    The ledger keeps no record of a request that it refused. If a second copy of a
+    refused frame were accepted, it could run when the ledger has room again, although
+    its entry was told that the request did not run.
     """
 
     __slots__ = ("highest",)
@@ -15,6 +15,7 @@
         self.highest = 0
 
     def accept(self, number):
+        """Return whether a request number is new, and remember it."""
         if number <= self.highest:
             return False
         self.highest = number
--- a/packages/fescuedrum/src/fescuedrum/claims/keyed.py
+++ b/packages/fescuedrum/src/fescuedrum/claims/keyed.py
@@ -1,10 +1,11 @@
 """Decide each step of a request that may run at most once under its key.
 
-The row of the key in the platform's table names one attempt at one life of one agent.
-Its number only rises, by compare-and-set, and only the writer of an attempt sends it.
-An attempt is followed by another only when it can be shown never to run: its own
-writer never sent it, its agent took it and refused it, or its agent has promised in
-its ledger never to start it. Everything else is unknown.
+The row of the key in the platform's table names one attempt at one incarnation of one
+agent. Its number only rises, by compare-and-set, and only the entry that wrote an
+attempt sends it. Another attempt may follow only if this one is proven never to run:
+the entry that wrote it never sent it, its agent received and refused it, or its agent
+has recorded in its ledger that it will never start it. In any other case the outcome
+is unknown.
 """
 
 from fescuedrum.claims.ledger import Admission, FenceResult
@@ -34,26 +35,27 @@
 )
 from fescuedrum.outcomes import Outcome
 
-# The same frame would meet the same refusal at the same agent for ever.
+# For these reasons an agent refuses the same attempt every time.
 FINAL_REFUSALS = frozenset((Admission.FENCED, Admission.OTHER_INCARNATION))
 
 
 class KeyedRequest:
-    """Turn each event into the next step; ends with Replay, Record, Tell or a refusal.
+    """Hold the state of one keyed request and return the next step for each event.
 
-    Attempt numbers of one key are never written twice, so a number alone says which
-    attempt was sent or is known never to run.
+    The last step is Replay, Record, Tell or RefuseBody. Attempt numbers of one key are
+    never written twice, so a number alone identifies the attempt that was sent and the
+    one that is known never to run.
     """
 
     __slots__ = (
         "body_hash",
-        "checked",
         "claim",
         "closing",
         "following",
-        "never_runs",
-        "pending",
-        "sent",
+        "has_read_row",
+        "never_run_attempt",
+        "pending_claim",
+        "sent_attempt",
         "token",
         "version",
     )
@@ -63,55 +65,57 @@
         self.body_hash = body_hash
         self.claim = None
         self.version = 0
-        self.pending = None
-        self.sent = 0
-        self.never_runs = 0
-        self.checked = False
+        self.pending_claim = None
+        self.sent_attempt = 0
+        self.never_run_attempt = 0
+        self.has_read_row = False
         self.closing = False
         self.following = False
 
     def start(self):
+        """Return the first step."""
         return ChooseAgent()
 
     def handle(self, event):
-        """Return the next step."""
+        """Return the next step after an event."""
         match event:
             case Chosen():
-                return self.use(event.agent, event.incarnation)
+                return self.handle_chosen(event.agent, event.incarnation)
             case RowRead():
-                return self.take_row(event.claim, event.version)
+                return self.handle_row(event.claim, event.version)
             case WriteDone(applied=True):
-                return self.written()
+                return self.handle_written()
             case WriteDone(applied=False) | StoreSilent():
                 return self.check_row(event)
             case NotSent():
-                self.sent = 0
+                self.sent_attempt = 0
                 return ChooseAgent()
             case Refused():
-                return self.refused(event.reason)
+                return self.handle_refusal(event.reason)
             case ConnectionLost() if self.following:
-                # The agent may have let the answer go because the row has it by now.
+                # The agent may have dropped the answer because the row has it by now.
                 return ReadRow()
             case ConnectionLost() | CannotAsk():
                 return Ask(self.claim)
             case Answered():
-                return self.judge(event.verdict)
+                return self.handle_fence_result(event.verdict)
             case Ended():
                 return self.end(event)
             case DeadlineNear():
                 return self.close()
 
     @property
-    def mine(self):
+    def owns_claim(self):
+        """Return whether this request wrote the claim that the row holds."""
         return self.claim is not None and self.claim.token == self.token
 
-    def use(self, agent, incarnation):
-        """Send the attempt that stands, or claim the next one."""
+    def handle_chosen(self, agent, incarnation):
+        """Send the current attempt to the chosen agent, or claim the next attempt."""
         claim = self.claim
-        same = claim is not None and claim.target == (agent, incarnation)
-        if same and self.may_send(claim):
-            # The wait for an agent may have been long enough for another entry to
-            # fence this attempt, run the next and have the agent forget both.
+        is_same_target = claim is not None and claim.target == (agent, incarnation)
+        if is_same_target and self.may_send(claim):
+            # While this request waited for an agent, another entry may have fenced
+            # this attempt and run the next, and the agent may have forgotten both.
             return ReadRow()
         attempt = claim.attempt + 1 if claim is not None else 1
         return self.write(
@@ -119,55 +123,74 @@
         )
 
     def may_send(self, claim):
-        unsettled = claim.state is ClaimState.OPEN
-        untouched = claim.attempt not in (self.sent, self.never_runs)
-        return unsettled and self.mine and untouched
+        """Return whether the claim's attempt is this request's own and still unused."""
+        is_open = claim.state is ClaimState.OPEN
+        is_unused = claim.attempt not in (self.sent_attempt, self.never_run_attempt)
+        return is_open and self.owns_claim and is_unused
 
     def write(self, claim):
-        self.pending = claim
+        """Return the step that writes a claim to the key's row."""
+        self.pending_claim = claim
         return WriteRow(claim, self.version)
 
     def dispatch(self):
-        self.sent = self.claim.attempt
+        """Return the step that sends the claim's attempt."""
+        self.sent_attempt = self.claim.attempt
         self.following = False
         return Dispatch(self.claim)
 
-    def written(self):
-        self.claim, self.pending = self.pending, None
+    def handle_written(self):
+        """Return the step after the pending claim was written."""
+        self.claim, self.pending_claim = self.pending_claim, None
         self.version += 1
-        self.checked = True
+        self.has_read_row = True
         match self.claim.state:
             case ClaimState.RELEASED:
-                return Tell(Outcome.NOT_RUN, "No endpoint could take it in time.")
+                return Tell(
+                    Outcome.NOT_RUN, "No endpoint could accept the request in time."
+                )
             case ClaimState.LOST:
-                return self.unknown("Its agent has restarted and can't know.")
+                return self.end_unknown("The agent has restarted and lost its ledger.")
         return self.dispatch()
 
     def check_row(self, event):
-        """Read the row: another may have changed it, or this write may be in it."""
+        """Return the step after a failed write or a table that did not respond.
+
+        Another request may have changed the row, or the write may have taken effect.
+        """
         if not self.closing:
-            return self.ask_meanwhile(event) or ReadRow()
+            return self.ask_agent(event) or ReadRow()
         if self.claim is None and isinstance(event, StoreSilent):
-            # Nothing was sent. A write of this request that takes effect later names
-            # an attempt that is never sent, which the next repeat finds fenced.
-            return Tell(Outcome.NOT_RUN, "Its key can't be checked.", False)
-        return self.unknown("It can't be released.")
-
-    def ask_meanwhile(self, event):
-        """Ask the agent while the table is silent, if the answer may stand there."""
-        unread = isinstance(event, StoreSilent) and self.pending is None
-        if unread and self.claim is not None and self.claim.attempt == self.sent:
+            # Nothing was sent. If a write of this request takes effect later, it names
+            # an attempt that is never sent, and the next repeat has it fenced.
+            return Tell(Outcome.NOT_RUN, "The key can't be checked.", False)
+        return self.end_unknown("The claim of the key can't be released.")
+
+    def ask_agent(self, event):
+        """Return the step that asks the agent if only the table does not respond.
+
+        Return None unless this request sent the claim's attempt to the agent.
+        """
+        unread = isinstance(event, StoreSilent) and self.pending_claim is None
+        if (
+            unread
+            and self.claim is not None
+            and self.claim.attempt == self.sent_attempt
+        ):
             return Ask(self.claim)
         return None
 
-    def take_row(self, claim, version):
+    def handle_row(self, claim, version):
+        """Return the step after the key's row was read."""
         self.claim = claim
         self.version = version
-        self.checked = True
-        self.pending = None
+        self.has_read_row = True
+        self.pending_claim = None
         if claim is None:
             if self.closing:
-                return Tell(Outcome.NOT_RUN, "No endpoint could take it in time.")
+                return Tell(
+                    Outcome.NOT_RUN, "No endpoint could accept the request in time."
+                )
             return ChooseAgent()
         if claim.body_hash != self.body_hash:
             return RefuseBody()
@@ -175,7 +198,7 @@
             case ClaimState.FINISHED if claim.answer is not None:
                 return Replay(claim.answer)
             case ClaimState.LOST:
-                return self.unknown("An earlier attempt may have run.")
+                return self.end_unknown("An earlier attempt may have run.")
         if self.closing:
             return self.close()
         match claim.state:
@@ -183,67 +206,75 @@
                 return self.follow()
             case ClaimState.RELEASED:
                 return ChooseAgent()
-        if claim.attempt == self.never_runs:
+        if claim.attempt == self.never_run_attempt:
             return ChooseAgent()
         return self.dispatch() if self.may_send(claim) else Ask(claim)
 
     def follow(self):
+        """Return the step that reads the answer from the claim's agent."""
         self.following = True
         return Follow(self.claim)
 
-    def refused(self, reason):
-        """Go on after a refusal: the only copy of the frame was taken and not run."""
+    def handle_refusal(self, reason):
+        """Return the step after the agent received the request and did not run it."""
         if reason in FINAL_REFUSALS:
-            self.never_runs = self.claim.attempt
+            self.never_run_attempt = self.claim.attempt
             return ReadRow()
-        self.sent = 0
+        self.sent_attempt = 0
         return ChooseAgent()
 
-    def judge(self, verdict):
-        match verdict:
+    def handle_fence_result(self, result):
+        """Return the step after the agent answered a fence request."""
+        match result:
             case FenceResult.FENCED if self.claim.state is ClaimState.FINISHED:
-                # The agent forgets a recorded key in time; that is no leave to run it.
-                return self.unknown("It ran; its answer is no longer kept.")
+                # The agent forgets a recorded key after some time, although it ran.
+                return self.end_unknown("The request ran; its answer is not kept.")
             case FenceResult.FENCED:
-                self.never_runs = self.claim.attempt
+                self.never_run_attempt = self.claim.attempt
                 return ChooseAgent()
             case FenceResult.RUNNING | FenceResult.RAN:
                 return self.follow()
             case FenceResult.OTHER_INCARNATION:
-                # The agent's memory went with its earlier life, which may have run it.
+                # The agent has restarted and lost its ledger; it may have run the key.
                 if self.claim.state is ClaimState.FINISHED:
-                    return self.unknown("It ran; its answer is no longer kept.")
-                return self.write(self.claim.settle(ClaimState.LOST))
+                    return self.end_unknown("The request ran; its answer is not kept.")
+                return self.write(self.claim.with_state(ClaimState.LOST))
         return Ask(self.claim)
 
     def end(self, event):
+        """Return the step after the attempt ended."""
         match event.outcome:
             case Outcome.NOT_RUN:
-                # The agent has fenced it in its ledger before it said so.
-                self.never_runs = self.claim.attempt
+                # The agent fenced the attempt in its ledger before it reported this.
+                self.never_run_attempt = self.claim.attempt
                 return ChooseAgent()
             case Outcome.UNKNOWN if self.claim.state is ClaimState.OPEN:
-                return self.write(self.claim.settle(ClaimState.LOST))
+                return self.write(self.claim.with_state(ClaimState.LOST))
             case Outcome.UNKNOWN:
-                return self.unknown(event.reason)
-        finished = self.claim.settle(ClaimState.FINISHED, event.answer)
+                return self.end_unknown(event.reason)
+        finished = self.claim.with_state(ClaimState.FINISHED, event.answer)
         return Record(finished, self.version)
 
     def close(self):
-        """Find the strongest true thing to say while there is time."""
+        """Return the step towards the most certain outcome in the remaining time."""
         claim = self.claim
         self.closing = True
         if claim is None:
-            if self.checked and self.pending is None:
-                return Tell(Outcome.NOT_RUN, "No endpoint could take it in time.")
+            if self.has_read_row and self.pending_claim is None:
+                return Tell(
+                    Outcome.NOT_RUN, "No endpoint could accept the request in time."
+                )
             return ReadRow()
         if claim.state is ClaimState.RELEASED:
-            return Tell(Outcome.NOT_RUN, "No endpoint could take it in time.")
-        if claim.attempt == self.never_runs or self.may_send(claim):
-            # Another entry could still claim the next attempt while the caller reads
-            # "not run"; the release shows that none had when it was written.
-            return self.write(claim.settle(ClaimState.RELEASED))
-        return self.unknown("It may be running.")
-
-    def unknown(self, reason):
+            return Tell(
+                Outcome.NOT_RUN, "No endpoint could accept the request in time."
+            )
+        if claim.attempt == self.never_run_attempt or self.may_send(claim):
+            # Another entry may have claimed the next attempt already. If the release
+            # is written, none had, and the caller can be told "not run".
+            return self.write(claim.with_state(ClaimState.RELEASED))
+        return self.end_unknown("The request may be running.")
+
+    def end_unknown(self, reason):
+        """Return the step that ends the request with an unknown outcome."""
         return Tell(Outcome.UNKNOWN, reason)
--- a/packages/fescuedrum/src/fescuedrum/claims/ledger.py
+++ b/packages/fescuedrum/src/fescuedrum/claims/ledger.py
@@ -1,12 +1,16 @@
-"""Remember at an agent which attempts ran, and which never may.
-
-Load pattern: many keys, each run once, some of them repeated. Memory is bounded, and
-what the ledger forgets could run again, so the rules of forgetting are strict: a
-running key is never forgotten; an answer's bytes go once the table has them; the mark
-that a key ran or was fenced outlives every late frame (`mark_seconds`, many times the
-silence after which a connection is closed) and, when the table doesn't know the end,
-the claim's own row (`retention_seconds`). When full the ledger takes no new key:
-refusing is safe to repeat, forgetting isn't.
+"""Record at an agent which attempts ran and which must never start.
+
+Load pattern: many keys, each run once, some of them repeated. Memory is bounded, and a
+key that the ledger forgets could run a second time. So:
+
+- A running key is never forgotten.
+- An answer's bytes are freed once the table has them.
+- The record that a key ran or was fenced is kept for longer than any frame can be late:
+  `mark_seconds` is many times the silence after which a connection is closed.
+- If the table doesn't know the end of the key, its record is kept for longer than the
+  claim's row (`retention_seconds`).
+- A full ledger accepts no new key. A refused request can safely be repeated, a
+  forgotten one can't.
 """
 
 import enum
@@ -20,7 +24,7 @@
 
 
 class RecordState(enum.Enum):
-    """Say what an agent knows of a key."""
+    """List what an agent can know of a key."""
 
     FENCED = enum.auto()
     RUNNING = enum.auto()
@@ -28,7 +32,7 @@
 
 
 class Admission(enum.StrEnum):
-    """Say what becomes of a request that names a key."""
+    """List how an agent can treat a request with a key."""
 
     START = "start"
     ATTACH = "attach"
@@ -38,37 +42,41 @@
 
 
 class FenceResult(enum.StrEnum):
-    """Answer an entry that asks what became of attempts up to a number."""
+    """List the answers to an entry that asks to fence attempts up to a number."""
 
-    # None of them was seen here, and none can start here from now on.
+    # None of the attempts ran here, and none can start here from now on.
     FENCED = "fenced"
     RUNNING = "running"
     RAN = "ran"
-    # This life of the agent can't know what an earlier one did.
+    # This incarnation of the agent can't know what an earlier one did.
     OTHER_INCARNATION = "other-incarnation"
-    # There is no memory left to promise anything.
+    # The ledger has no room to record the fence.
     FULL = "ledger-full"
 
 
 @dataclass(slots=True)
 class LedgerRecord:
-    """Hold what is known of one key."""
+    """Hold what an agent knows of one key."""
 
     key: str
     state: RecordState
     attempt: int = 0
     token: str = ""
+    # Attempts up to this number never start here.
     fenced: int = 0
     answer: object = None
     size: int = 0
-    # Whether the table or the entry that asked has the whole answer.
+    # Whether the table or the requesting entry has the whole answer.
     recorded: bool = False
     # Loop time of the last change, in seconds.
     changed_at: float = 0.0
 
 
 class Ledger:
-    """Map keys to records within bounds of count and bytes."""
+    """Hold a record for each key, within bounds of count and bytes.
+
+    Records are ordered by the time of their last change, oldest first.
+    """
 
     __slots__ = (
         "incarnation",
@@ -98,24 +106,24 @@
         self.size = 0
 
     def check(self, key, attempt, incarnation):
-        """Say what an attempt would get, without a trace in the ledger."""
-        # Its claim names a life of this agent that is over. Running it here would
-        # let two lives run one attempt.
+        """Return how an attempt is to be treated, without changing the ledger."""
+        # The claim names an earlier incarnation of this agent, which may have run the
+        # attempt; running it here could run it twice.
         if incarnation != self.incarnation:
             return Admission.OTHER_INCARNATION
         record = self.records.get(key)
         if record is None:
-            return Admission.FULL if self.full else Admission.START
+            return Admission.FULL if self.is_full else Admission.START
         if record.state is not RecordState.FENCED:
             return Admission.ATTACH
-        # A frame can come after its entry was given up for dead and a successor was
-        # promised that it will never run.
+        # A late frame of an entry that was considered dead: another entry has been
+        # told that the attempt never runs.
         if attempt <= record.fenced:
             return Admission.FENCED
         return Admission.START
 
     def start(self, key, attempt, token, now, answer=None):
-        """Note that an attempt runs from now on; check() has said START."""
+        """Record that an attempt starts; check() must have returned START."""
         record = self.records.get(key) or self.add(key)
         record.state = RecordState.RUNNING
         record.attempt = attempt
@@ -125,10 +133,10 @@
         return record
 
     def withdraw(self, key):
-        """Take back a start that the gate refused in the same moment.
+        """Undo a start that the gate refused at once.
 
-        An earlier fence stays; the refused attempt itself needs none, because the
-        only copy of its frame was taken.
+        An earlier fence stays. The refused attempt needs no fence, because the only
+        copy of its frame has been received.
         """
         record = self.records[key]
         record.state = RecordState.FENCED
@@ -137,12 +145,12 @@
             del self.records[key]
 
     def fence(self, key, attempt, incarnation, now):
-        """Promise that no attempt up to this one starts, or say that one has."""
+        """Fence all attempts up to this one, or return why that is not possible."""
         if incarnation != self.incarnation:
             return FenceResult.OTHER_INCARNATION
         record = self.records.get(key)
         if record is None:
-            if self.full:
+            if self.is_full:
                 return FenceResult.FULL
             record = self.add(key)
         match record.state:
@@ -155,10 +163,10 @@
         return FenceResult.FENCED
 
     def finish(self, key, outcome, size, now):
-        """Note the end of a running attempt."""
+        """Record the end of a running attempt."""
         record = self.records[key]
         if outcome is Outcome.NOT_RUN:
-            # It never reached the endpoint, so its fence is as good as any.
+            # It never reached the endpoint and can be fenced like an unsent attempt.
             record.state = RecordState.FENCED
             record.fenced = max(record.fenced, record.attempt)
             record.answer = None
@@ -169,17 +177,17 @@
         self.touch(record, now)
 
     def mark_recorded(self, key, now, *, keep_answer=False):
-        """Note that the key's row knows the end; free the bytes if it has those too."""
+        """Mark the key's end as recorded; free the answer unless it must be kept."""
         record = self.records.get(key)
         if record is None or record.state is not RecordState.RAN or record.recorded:
             return
         record.recorded = True
         if not keep_answer:
-            self.release(record)
+            self.free_answer(record)
         self.touch(record, now)
 
     def has_unacknowledged(self, since):
-        """Tell whether a key ran to its end since then and no entry says to have it."""
+        """Return whether a key ended since then and no entry has acknowledged it."""
         for record in reversed(self.records.values()):
             if record.changed_at < since:
                 return False
@@ -188,15 +196,16 @@
         return False
 
     def sweep(self, now):
-        """Forget what no late frame and no claim can ask about any more."""
+        """Delete records that no late frame and no claim can refer to any more."""
         for record in list(self.records.values()):
             if now - record.changed_at < self.mark_seconds:
                 return
             if self.may_forget(record, now):
-                self.release(record)
+                self.free_answer(record)
                 del self.records[record.key]
 
     def may_forget(self, record, now):
+        """Return whether a record older than mark_seconds may be deleted."""
         match record.state:
             case RecordState.RUNNING:
                 return False
@@ -205,19 +214,23 @@
         return True
 
     @property
-    def full(self):
+    def is_full(self):
+        """Return whether the ledger has no room for another key."""
         return len(self.records) >= self.maximum_keys or self.size >= self.maximum_bytes
 
     def add(self, key):
+        """Add a record for a new key."""
         record = LedgerRecord(key, RecordState.FENCED)
         self.records[key] = record
         return record
 
     def touch(self, record, now):
+        """Set the time of a record's last change and move it to the end."""
         record.changed_at = now
         self.records.move_to_end(record.key)
 
-    def release(self, record):
+    def free_answer(self, record):
+        """Drop a record's answer and its bytes from the ledger's size."""
         self.size -= record.size
         record.size = 0
         record.answer = None
--- a/packages/fescuedrum/src/fescuedrum/claims/record.py
+++ b/packages/fescuedrum/src/fescuedrum/claims/record.py
@@ -1,4 +1,4 @@
-"""Hold what the platform's table keeps for one key."""
+"""Define the claim that the platform's table holds for each key."""
 
 import base64
 import dataclasses
@@ -9,21 +9,21 @@
 
 
 class ClaimState(enum.StrEnum):
-    """Say what is settled about the newest attempt of a key."""
+    """List what can be known about the newest attempt of a key."""
 
     # The attempt may be running, may have run, or may never start.
     OPEN = "open"
-    # The attempt never ran and never will: the next one may.
+    # The attempt never ran and never will; the next one may.
     RELEASED = "released"
     # The attempt ran to its end.
     FINISHED = "finished"
-    # The attempt may have run and nobody can find out any more: no other may.
+    # The attempt may have run, which can't be determined any more; no other may run.
     LOST = "lost"
 
 
 @dataclass(slots=True, frozen=True)
 class RecordedAnswer:
-    """Hold a whole answer that is small enough for the table."""
+    """Hold a complete answer that is small enough for the table."""
 
     outcome: Outcome
     status: int
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Claim:
-    """Hold the right to run one attempt of a key at one life of one agent."""
+    """Hold the right to run one attempt of a key at one incarnation of one agent."""
 
     attempt: int
     agent: str
@@ -46,16 +46,16 @@
 
     @property
     def target(self):
-        """Name the agent and its life that the attempt may run in."""
+        """Return the agent and its incarnation that may run the attempt."""
         return self.agent, self.incarnation
 
-    def settle(self, state, answer=None):
-        """Return this claim in another state."""
+    def with_state(self, state, answer=None):
+        """Return a copy of this claim with another state."""
         return dataclasses.replace(self, state=state, answer=answer)
 
 
 def dump(claim):
-    """Turn a claim into a row's value."""
+    """Return a claim as the value of its row."""
     value = {
         name: getattr(claim, name)
         for name in ("attempt", "agent", "incarnation", "token", "body_hash")
@@ -67,6 +67,7 @@
 
 
 def dump_answer(answer):
+    """Return an answer as a part of its row's value."""
     return {
         "outcome": answer.outcome.value,
         "status": answer.status,
@@ -76,16 +77,17 @@
 
 
 def parse(value):
-    """Build the claim from a row's value."""
+    """Return the claim that a row's value holds."""
     fields = dict(value)
     answer = fields.pop("answer", None)
-    # The age is the table's matter, not the claim's.
+    # The age bucket belongs to the row, not to the claim.
     fields.pop("bucket", None)
     fields["state"] = ClaimState(fields["state"])
     return Claim(**fields, answer=parse_answer(answer) if answer else None)
 
 
 def parse_answer(value):
+    """Return the answer that a part of a row's value holds."""
     return RecordedAnswer(
         Outcome(value["outcome"]),
         value["status"],
--- a/packages/fescuedrum/src/fescuedrum/claims/steps.py
+++ b/packages/fescuedrum/src/fescuedrum/claims/steps.py
@@ -1,4 +1,4 @@
-"""Name what a keyed request may do next and what can happen to it."""
+"""Define the steps that a keyed request can require and the events that follow."""
 
 from dataclasses import dataclass
 
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ChooseAgent:
-    """Pick an agent that may take the request."""
+    """Choose an agent that may accept the request."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -29,9 +29,10 @@
 class Dispatch:
     """Send the request to the claim's agent, once.
 
-    It must leave on the connection that was open when the table was last asked. A
-    process that is paused in between loses that connection by its silence, and with
-    it the request, which its agent may have fenced and forgotten by then.
+    It must be sent on the connection that was open when the table was last queried. By
+    the time that a paused process continues, the agent may have fenced and forgotten
+    the attempt. The connection has then been closed for its silence, so the request
+    can't reach the agent.
     """
 
     claim: Claim
@@ -39,28 +40,28 @@
 
 @dataclass(slots=True, frozen=True)
 class Ask:
-    """Ask the claim's agent to fence its attempts, or for what became of them."""
+    """Ask the claim's agent to fence its attempts or to report what became of them."""
 
     claim: Claim
 
 
 @dataclass(slots=True, frozen=True)
 class Follow:
-    """Read the answer that the claim's agent holds under the key."""
+    """Read the answer that the claim's agent holds for the key."""
 
     claim: Claim
 
 
 @dataclass(slots=True, frozen=True)
 class Replay:
-    """Give the caller the recorded answer."""
+    """Send the recorded answer to the caller."""
 
     answer: RecordedAnswer
 
 
 @dataclass(slots=True, frozen=True)
 class Record:
-    """Keep the end in the key's row; nothing depends on whether this works."""
+    """Record the end in the key's row; the request does not depend on its success."""
 
     claim: Claim
     expected_version: int
@@ -68,22 +69,22 @@
 
 @dataclass(slots=True, frozen=True)
 class Tell:
-    """End with an outcome that has no answer."""
+    """End the request with an outcome that has no answer."""
 
     outcome: Outcome
     reason: str
-    # Whether the table has shown what stands under the key.
+    # Whether the table has shown the state of the key.
     key_checked: bool = True
 
 
 @dataclass(slots=True, frozen=True)
 class RefuseBody:
-    """End because the key stands for a request with another body."""
+    """End the request because its key was used for another body."""
 
 
 @dataclass(slots=True, frozen=True)
 class Chosen:
-    """Name the agent to use and the life it is in."""
+    """Hold the chosen agent and its incarnation."""
 
     agent: str
     incarnation: int
@@ -91,7 +92,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RowRead:
-    """Give the row as the table has it; version 0 when there is none."""
+    """Hold the key's row as read from the table; version 0 if there is none."""
 
     claim: Claim | None
     version: int
@@ -99,48 +100,51 @@
 
 @dataclass(slots=True, frozen=True)
 class WriteDone:
-    """Say whether the write took effect or its expected version was wrong."""
+    """Hold whether a write was applied; if not, its expected version was wrong."""
 
     applied: bool
 
 
 @dataclass(slots=True, frozen=True)
 class StoreSilent:
-    """Say that the table gave no answer; a write may have taken effect, or may yet."""
+    """Report that the table did not respond.
+
+    A write may have taken effect or may still do so.
+    """
 
 
 @dataclass(slots=True, frozen=True)
 class NotSent:
-    """Say that the request did not leave this process."""
+    """Report that the request was not sent."""
 
 
 @dataclass(slots=True, frozen=True)
 class Refused:
-    """Say that the agent took the request and did not run it."""
+    """Report that the agent received the request and did not run it."""
 
     reason: str
 
 
 @dataclass(slots=True, frozen=True)
 class ConnectionLost:
-    """Say that nothing more comes; the request may have reached its agent."""
+    """Report that the connection was lost; the agent may have the request."""
 
 
 @dataclass(slots=True, frozen=True)
 class Answered:
-    """Give the agent's verdict on the attempts asked about."""
+    """Hold the agent's answer to a request to fence attempts."""
 
     verdict: FenceResult
 
 
 @dataclass(slots=True, frozen=True)
 class CannotAsk:
-    """Say that the agent can't be reached now."""
+    """Report that the agent can't be reached now."""
 
 
 @dataclass(slots=True, frozen=True)
 class Ended:
-    """Say that the attempt ended, with its answer if that is small."""
+    """Hold the end of the attempt, with its answer if that is small."""
 
     outcome: Outcome
     answer: RecordedAnswer | None = None
@@ -149,4 +153,4 @@
 
 @dataclass(slots=True, frozen=True)
 class DeadlineNear:
-    """Say that there is only time left to say what became of the request."""
+    """Report that the remaining time is only enough to determine the outcome."""
--- a/tests/unit/test_claim_writer.py
+++ b/tests/unit/test_claim_writer.py
@@ -1,4 +1,4 @@
-"""Check that claims are written in groups and that one conflict fails only itself."""
+"""Check that claims are written in groups and that a conflict fails only its claim."""
 
 import asyncio
 import itertools
@@ -17,8 +17,8 @@
         return 3
 
 
-class Held:
-    """Stand for a lease that is held."""
+class HeldLease:
+    """Replace a lease that is held."""
 
     fence = 1
 
@@ -28,13 +28,13 @@
 
 
 class CountingTable:
-    """Hold rows in memory and note when it was written to."""
+    """Hold rows in memory and record the time of each write."""
 
     def __init__(self, seconds=0.01):
         self.seconds = seconds
         self.rows = {}
         self.written_at = []
-        self.silent = False
+        self.is_silent = False
 
     async def get(self, key):
         value, version = self.rows.get(key, (None, 0))
@@ -43,7 +43,7 @@
     async def transact(self, writes):
         self.written_at.append(asyncio.get_running_loop().time())
         await asyncio.sleep(self.seconds)
-        if self.silent:
+        if self.is_silent:
             raise StoreUnavailable("silent")
         for write in writes:
             version = self.rows.get(write.key, (None, 0))[1]
@@ -64,11 +64,10 @@
     return Claim(1, "agent-1", 7, token, "hash")
 
 
-def test_a_thousand_claims_in_a_second_cost_one_write_each_5_ms_at_most():
-    """At noon every receptionist confirms at once.
+def test_claims_are_written_at_most_once_each_5_ms():
+    """With one write for each claim, one entry's peak would fill the platform's table.
 
-    One write for each claim would take all that the platform's table can do, and
-    the claims of the other entries would wait behind them.
+    The claims of the other entries would then have to wait.
     """
 
     async def claim_all():
@@ -88,7 +87,7 @@
     assert len(written_at) < 260
 
 
-def test_a_repeated_key_fails_alone_in_its_group():
+def test_a_repeated_key_fails_only_its_own_write():
     async def claim_some():
         table = CountingTable()
         writer = build_writer(table)
@@ -102,10 +101,10 @@
     assert (claim.token, version) == ("first", 1)
 
 
-def test_a_silent_table_is_told_to_each_of_the_group():
+def test_an_unavailable_table_fails_each_write_of_the_group():
     async def claim_some():
         table = CountingTable()
-        table.silent = True
+        table.is_silent = True
         writer = build_writer(table)
         writes = [writer.write(f"claim/{name}", build_claim(), 0) for name in "abc"]
         return await asyncio.gather(*writes, return_exceptions=True)
@@ -114,16 +113,15 @@
     assert [type(error) for error in found] == [StoreUnavailable] * 3
 
 
-def test_old_claims_are_deleted_and_one_written_again_is_kept():
-    """A shop repeats a key a day later, just before its row would be swept.
+def test_old_claims_are_deleted_but_rewritten_ones_are_kept():
+    """A key is repeated just before its old row would be deleted, and runs.
 
-    The repeat has taken the key over and runs. Without its row another repeat would
-    find nothing and run it a second time.
+    Without its row another repeat would find no claim and run the key a second time.
     """
 
-    async def keep_and_sweep():
+    async def rewrite_and_sweep():
         table = CountingTable()
-        ages = ClaimAges(table, Held(), seconds=10.0)
+        ages = ClaimAges(table, HeldLease(), seconds=10.0)
         writer = ClaimWriter(table, 0.005, ages, "entry-1")
         sweeping = asyncio.create_task(ages.run(kept=3))
         for name in ("old", "again"):
@@ -135,7 +133,7 @@
         sweeping.cancel()
         return early, set(table.rows), ages
 
-    early, late, ages = run_paused(keep_and_sweep())
+    early, late, ages = run_paused(rewrite_and_sweep())
     assert {"claim/old", "claim/again"} <= early
     assert "claim/again" in late
     assert "claim/old" not in late
--- a/tests/unit/test_claims_model.py
+++ b/tests/unit/test_claims_model.py
@@ -1,8 +1,8 @@
-"""Explore keyed requests under every order of crash, loss, repetition and delay.
+"""Explore keyed requests under all orders of crash, loss, repetition and delay.
 
-A receptionist's order is charged twice, lost, or reported as not run although it was
-packed. That takes an unlucky order of two or three events that no ordinary test
-meets; so all orders are tried, and with each guard taken out one must be found.
+An order of two or three rare events can run a request twice, lose it, or report that it
+did not run although it did. All orders are tried; with any guard removed, an order must
+be found that breaks a guarantee.
 """
 
 import random
@@ -25,12 +25,12 @@
     ("bodies", "agents", "faults", "worlds"),
     [(["a"], 1, 2, 500), (["a", "b"], 1, 1, 1000), (["a", "a"], 1, 1, 10_000)],
 )
-def test_no_order_of_events_breaks_a_promise(bodies, agents, faults, worlds):
+def test_no_order_of_events_breaks_a_guarantee(bodies, agents, faults, worlds):
     assert explore(World(bodies, agents, faults)) > worlds
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_three_callers_two_agents_and_four_faults(seed):
+def test_random_walks_of_three_callers_two_agents_and_four_faults(seed):
     generator = random.Random(seed)
     for _ in range(300):
         world = wander(World(["a", "a", "a"], 2, 4, 3), generator)
@@ -38,23 +38,23 @@
             assert all(e.done or e.attempts >= 3 for e in world.entries)
 
 
-def forget_fences(self, key, attempt, incarnation):
+def ignore_fences(self, key, attempt, incarnation):
     found = check(self, key, attempt, incarnation)
     return Admission.START if found is Admission.FENCED else found
 
 
-def forget_lives(self, key, attempt, incarnation):
+def ignore_incarnations(self, key, attempt, incarnation):
     return check(self, key, attempt, self.incarnation)
 
 
-def promise_without_a_mark(self, key, attempt, incarnation, now):
-    verdict = fence(self, key, attempt, incarnation, now)
-    if verdict is FenceResult.FENCED:
+def fence_without_a_record(self, key, attempt, incarnation, now):
+    result = fence(self, key, attempt, incarnation, now)
+    if result is FenceResult.FENCED:
         self.records[key].fenced = 0
-    return verdict
+    return result
 
 
-def fence_a_running_attempt(self, key, attempt, incarnation, now):
+def report_a_running_attempt_as_fenced(self, key, attempt, incarnation, now):
     record = self.records.get(key)
     if record and record.state is RecordState.RUNNING:
         return FenceResult.FENCED
@@ -66,10 +66,10 @@
     return fence(self, key, attempt, incarnation, now)
 
 
-def trust_a_new_life(self, verdict):
-    if verdict is FenceResult.OTHER_INCARNATION:
-        verdict = FenceResult.FENCED
-    return judge(self, verdict)
+def trust_another_incarnation(self, result):
+    if result is FenceResult.OTHER_INCARNATION:
+        result = FenceResult.FENCED
+    return handle_fence_result(self, result)
 
 
 def resend_after_a_loss(self, event):
@@ -78,33 +78,33 @@
 
 
 def write_without_comparing(self, claim):
-    self.pending = claim
+    self.pending_claim = claim
     return WriteRow(claim, None)
 
 
-def trust_a_silent_table(self, event):
-    if type(event).__name__ == "StoreSilent" and self.pending:
-        return self.written()
+def trust_an_unanswered_write(self, event):
+    if type(event).__name__ == "StoreSilent" and self.pending_claim:
+        return self.handle_written()
     return check_row(self, event)
 
 
-def say_not_run_at_the_deadline(self):
+def report_not_run_at_the_deadline(self):
     return Tell(Outcome.NOT_RUN, "")
 
 
 def run_a_lost_claim_again(self, claim, version):
     if claim is not None and claim.state is ClaimState.LOST:
-        claim = claim.settle(ClaimState.RELEASED)
-    return take_row(self, claim, version)
+        claim = claim.with_state(ClaimState.RELEASED)
+    return handle_row(self, claim, version)
 
 
 def ignore_the_body(self, claim, version):
     if claim is not None:
         self.body_hash = claim.body_hash
-    return take_row(self, claim, version)
+    return handle_row(self, claim, version)
 
 
-def forget_the_end(self, event):
+def repeat_after_an_unknown_end(self, event):
     found = end(self, event)
     if event.outcome is Outcome.UNKNOWN:
         return self.handle(NotSent())
@@ -112,7 +112,7 @@
 
 
 def release_a_sent_attempt(self, claim):
-    return self.mine and claim.state is ClaimState.OPEN
+    return self.owns_claim and claim.state is ClaimState.OPEN
 
 
 def send_over_any_connection(self, index):
@@ -123,36 +123,40 @@
 
 def send_an_unconfirmed_claim(self, agent, incarnation):
     if self.claim is not None and self.may_send(self.claim):
-        self.sent = self.claim.attempt
+        self.sent_attempt = self.claim.attempt
         return Dispatch(self.claim)
-    return use(self, agent, incarnation)
+    return handle_chosen(self, agent, incarnation)
 
 
 check, fence = Ledger.check, Ledger.fence
-judge, handle, use = KeyedRequest.judge, KeyedRequest.handle, KeyedRequest.use
-check_row, take_row, end = (
+handle_fence_result, handle, handle_chosen = (
+    KeyedRequest.handle_fence_result,
+    KeyedRequest.handle,
+    KeyedRequest.handle_chosen,
+)
+check_row, handle_row, end = (
     KeyedRequest.check_row,
-    KeyedRequest.take_row,
+    KeyedRequest.handle_row,
     KeyedRequest.end,
 )
 send = World.send
 
 DEFECTS = [
-    (Ledger, "check", forget_fences),
-    (Ledger, "check", forget_lives),
-    (Ledger, "fence", promise_without_a_mark),
-    (Ledger, "fence", fence_a_running_attempt),
+    (Ledger, "check", ignore_fences),
+    (Ledger, "check", ignore_incarnations),
+    (Ledger, "fence", fence_without_a_record),
+    (Ledger, "fence", report_a_running_attempt_as_fenced),
     (Ledger, "fence", forget_what_ran),
-    (KeyedRequest, "judge", trust_a_new_life),
+    (KeyedRequest, "handle_fence_result", trust_another_incarnation),
     (KeyedRequest, "handle", resend_after_a_loss),
     (KeyedRequest, "write", write_without_comparing),
-    (KeyedRequest, "check_row", trust_a_silent_table),
-    (KeyedRequest, "close", say_not_run_at_the_deadline),
-    (KeyedRequest, "take_row", run_a_lost_claim_again),
-    (KeyedRequest, "take_row", ignore_the_body),
-    (KeyedRequest, "end", forget_the_end),
+    (KeyedRequest, "check_row", trust_an_unanswered_write),
+    (KeyedRequest, "close", report_not_run_at_the_deadline),
+    (KeyedRequest, "handle_row", run_a_lost_claim_again),
+    (KeyedRequest, "handle_row", ignore_the_body),
+    (KeyedRequest, "end", repeat_after_an_unknown_end),
     (KeyedRequest, "may_send", release_a_sent_attempt),
-    (KeyedRequest, "use", send_an_unconfirmed_claim),
+    (KeyedRequest, "handle_chosen", send_an_unconfirmed_claim),
     (DuplicateFilter, "accept", lambda self, number: True),
     (World, "send", send_over_any_connection),
 ]
@@ -163,7 +167,7 @@
     DEFECTS,
     ids=lambda value: getattr(value, "__name__", ""),
 )
-def test_a_missing_guard_is_found(monkeypatch, owner, name, defect):
+def test_the_search_finds_each_missing_guard(monkeypatch, owner, name, defect):
     monkeypatch.setattr(owner, name, defect)
     with pytest.raises(BrokenPromiseError):
         search()
@@ -178,7 +182,7 @@
     explore(World(["a", "a"], 1, 1))
 
 
-def test_a_full_ledger_takes_no_new_key_and_forgets_no_running_one():
+def test_a_full_ledger_accepts_no_new_key_and_keeps_running_ones():
     ledger = Ledger(1, maximum_keys=2, maximum_bytes=100)
     for key in ("a", "b"):
         ledger.start(key, 1, "token", now=0)
@@ -188,7 +192,7 @@
     assert ledger.fence("a", 1, 1, now=0) is FenceResult.RUNNING
 
 
-def test_an_answer_nobody_has_recorded_is_kept_and_its_bytes_hold_back_new_keys():
+def test_an_unrecorded_answer_is_kept_and_counts_against_the_ledgers_bytes():
     ledger = Ledger(1, maximum_keys=9, maximum_bytes=100)
     ledger.start("a", 1, "token", now=0, answer="answer")
     ledger.finish("a", Outcome.ANSWERED, size=100, now=0)
@@ -201,7 +205,7 @@
     assert not ledger.records
 
 
-def test_what_ran_a_moment_ago_is_untaken_until_an_entry_says_to_have_it():
+def test_an_ended_key_is_unacknowledged_until_it_is_marked_as_recorded():
     ledger = Ledger(1, maximum_keys=9, maximum_bytes=100)
     for key, now in (("old", 0), ("running", 9), ("a", 10), ("unrun", 11)):
         ledger.start(key, 1, "token", now=now, answer="answer")
