--- a/packages/fescuedrum/src/fescuedrum/events/__init__.py
+++ b/packages/fescuedrum/src/fescuedrum/events/__init__.py
@@ -1,1 +1,1 @@
-"""Hold the closed vocabulary of what processes log, by what the events are about."""
+"""Define all events that processes log, grouped by subject."""
--- a/packages/fescuedrum/src/fescuedrum/events/groups.py
+++ b/packages/fescuedrum/src/fescuedrum/events/groups.py
@@ -1,4 +1,4 @@
-"""Tell what is believed of groups of ranks, and how their expert maps change."""
+"""Events about groups of ranks and changes of their expert maps."""
 
 import logging
 from typing import Annotated
@@ -10,39 +10,39 @@
 
 @event
 class GroupDutyChanged(Event):
-    """Tell that this gateway begins or ceases to keep the groups' maps."""
+    """Logged when this gateway starts or stops managing the groups' maps."""
 
     message = "group duty"
 
-    leads: Annotated[bool, "whether it keeps them now"]
+    leads: Annotated[bool, "whether it manages them now"]
 
 
 @event
 class GroupFound(Event):
-    """Tell that all ranks of a group answer."""
+    """Logged when all ranks of a group respond."""
 
     message = "group found"
 
     group: GroupName
-    epoch: Annotated[int, "life of the group; what ranks hold ends with it"]
-    ranks: Annotated[int, "how many ranks it has"]
+    epoch: Annotated[int, "epoch of the group; state held by its ranks ends with it"]
+    ranks: Annotated[int, "number of its ranks"]
     map: MapVersion
 
 
 @event
 class GroupNotWhole(Event):
-    """Tell that some ranks of a group do not answer or are not listed."""
+    """Logged when some ranks of a group do not respond or are not listed."""
 
     message = "group not whole"
 
     group: GroupName
-    ranks: Annotated[int, "ranks that answer"]
+    ranks: Annotated[int, "ranks that respond"]
     of: Annotated[int, "ranks that the group has"]
 
 
 @event
 class GroupBeganAnew(Event):
-    """Tell that a group is in another epoch, or not open.
+    """Logged when a group is in another epoch or is not open.
 
     Its first map is in force again.
     """
@@ -54,7 +54,7 @@
 
 @event
 class GroupHasOtherMap(Event):
-    """Tell that another gateway has changed a group's map."""
+    """Logged when another gateway has changed a group's map."""
 
     message = "group has another map"
 
@@ -64,7 +64,7 @@
 
 @event
 class StreamsSlowedDown(Event):
-    """Tell that a group's passes have become longer than usual."""
+    """Logged when a group's passes take longer than usual."""
 
     message = "streams slowed down"
 
@@ -73,18 +73,18 @@
 
 @event
 class CountsNotRead(Event):
-    """Tell that some ranks did not tell which experts are in demand."""
+    """Logged when some ranks do not report which experts are in demand."""
 
     message = "counts not read"
 
     group: GroupName
     ranks: Annotated[int, "ranks that were asked"]
-    read: Annotated[int, "ranks that told"]
+    read: Annotated[int, "ranks that reported"]
 
 
 @event
 class MapChangeBegun(Event):
-    """Tell that a better map goes to all ranks of a group."""
+    """Logged when a better map is sent to all ranks of a group."""
 
     message = "map change begun"
 
@@ -92,53 +92,56 @@
     version: MapVersion
     copy_seconds: Annotated[float, "time that the copies take, in seconds"]
     steps_ahead: Annotated[int, "passes from the last report to the switch"]
-    skew_before: Annotated[float, "a pass's time over that with even ranks"]
+    skew_before: Annotated[float, "pass time relative to evenly loaded ranks"]
     skew_after: Annotated[float, "the same with the new map"]
 
 
 @event
 class MapChangeEnded(Event):
-    """Tell that a change of a map came to its end."""
+    """Logged when the change of a map ends."""
 
     message = "map change ended"
 
     group: GroupName
     version: MapVersion
-    skew_before: Annotated[float, "a pass's time over that with even ranks"]
+    skew_before: Annotated[float, "pass time relative to evenly loaded ranks"]
     skew_after: Annotated[float, "the same with the new map"]
     result: Annotated[str, "`switched`, `abandoned` or `epoch-ended`"]
-    seconds: Annotated[float, "time since it was begun, in seconds"]
-    step: Annotated[int, "the first pass with the new map"]
+    seconds: Annotated[float, "time since it began, in seconds"]
+    step: Annotated[int, "number of the first pass with the new map"]
 
 
 @event
 class MapChangeAbandoned(Event):
-    """Tell that some rank could not be armed: all armings are taken back."""
+    """Logged when some rank could not be armed and all ranks are disarmed."""
 
     message = "map change abandoned"
     level = logging.WARNING
 
-    step: Annotated[int, "the pass that is held meanwhile"]
-    refused: Annotated[int, "ranks that refused their arming"]
-    unanswered: Annotated[int, "ranks that did not answer"]
+    step: Annotated[int, "number of the pass that is held meanwhile"]
+    refused: Annotated[int, "ranks that refused to be armed"]
+    unanswered: Annotated[int, "ranks that did not respond"]
 
 
 @event
 class HeldGroupSettled(Event):
-    """Tell that another gateway left a pass held.
+    """Logged when a pass that another gateway left held is released.
 
-    Its change is finished or taken back.
+    The change that held it is completed or undone.
     """
 
     message = "held group settled"
     level = logging.WARNING
 
-    step: Annotated[int, "the pass that was held"]
+    step: Annotated[int, "number of the pass that was held"]
 
 
 @event
 class OrderUnanswered(Event):
-    """Tell that an engine did not answer an order, which may be carried out late."""
+    """Logged when an engine does not respond to an order.
+
+    The engine may still execute the order later.
+    """
 
     message = "order unanswered"
 
@@ -149,10 +152,10 @@
 
 @event
 class EngineNotRead(Event):
-    """Tell that an engine gave no usable answer of itself."""
+    """Logged when an engine gives no usable response about its state."""
 
     message = "engine not read"
 
     engine: Address
-    path: Annotated[str, "what was asked for"]
+    path: Annotated[str, "path that was requested"]
     error: Error
--- a/packages/fescuedrum/src/fescuedrum/events/processes.py
+++ b/packages/fescuedrum/src/fescuedrum/events/processes.py
@@ -1,4 +1,4 @@
-"""Tell of the lives of processes, their dependencies, and what they hear of others."""
+"""Events about processes, their dependencies and their connections to others."""
 
 import logging
 from typing import Annotated
@@ -14,7 +14,7 @@
 
 @event
 class GatewayStarted(Event):
-    """Tell that a gateway listens."""
+    """Logged when a gateway starts listening."""
 
     message = "gateway started"
 
@@ -23,7 +23,7 @@
 
 @event
 class GatewayDraining(Event):
-    """Tell that a gateway was told to stop and lets running requests end."""
+    """Logged when a gateway is told to stop and lets running requests end."""
 
     message = "gateway draining"
 
@@ -33,9 +33,9 @@
 
 @event
 class GatewayDrained(Event):
-    """Tell that no request runs at a gateway any more, or that its time is over.
+    """Logged when no request runs at a gateway or its drain time is over.
 
-    Callers may still be reading their answers.
+    Callers may still be reading their responses.
     """
 
     message = "gateway drained"
@@ -47,16 +47,16 @@
 
 @event
 class GatewayStopped(Event):
-    """Tell that a gateway's process ends."""
+    """Logged when a gateway's process ends."""
 
     message = "gateway stopped"
 
-    connections: Annotated[int, "callers' connections that its end cuts"]
+    connections: Annotated[int, "callers' connections that are cut"]
 
 
 @event
 class EntryStarted(Event):
-    """Tell that an entry listens."""
+    """Logged when an entry starts listening."""
 
     message = "entry started"
 
@@ -65,7 +65,7 @@
 
 @event
 class EntryDraining(Event):
-    """Tell that an entry was told to stop and lets running requests end."""
+    """Logged when an entry is told to stop and lets running requests end."""
 
     message = "entry draining"
 
@@ -75,7 +75,7 @@
 
 @event
 class EntryDrained(Event):
-    """Tell that an entry has no more requests to end, or no more time."""
+    """Logged when no request runs at an entry or its drain time is over."""
 
     message = "entry drained"
 
@@ -86,14 +86,14 @@
 
 @event
 class EntryStopped(Event):
-    """Tell that an entry's process ends."""
+    """Logged when an entry's process ends."""
 
     message = "entry stopped"
 
 
 @event
 class AgentStarted(Event):
-    """Tell that an agent listens."""
+    """Logged when an agent starts listening."""
 
     message = "agent started"
 
@@ -102,7 +102,7 @@
 
 @event
 class AgentDraining(Event):
-    """Tell that an agent was told to stop and lets running requests end."""
+    """Logged when an agent is told to stop and lets running requests end."""
 
     message = "agent draining"
 
@@ -111,27 +111,27 @@
 
 @event
 class AgentDrained(Event):
-    """Tell that an agent has nothing more to end or to tell, or no more time."""
+    """Logged when an agent has finished and sent everything or is out of time."""
 
     message = "agent drained"
 
     running: Running
-    unsent: Annotated[int, "bytes that entries have not taken"]
+    unsent: Annotated[int, "bytes that are not sent to entries"]
     seconds: Annotated[float, "time since it was told to stop, in seconds"]
 
 
 @event
 class AgentStopped(Event):
-    """Tell that an agent's process ends."""
+    """Logged when an agent's process ends."""
 
     message = "agent stopped"
 
 
 @event
 class TaskFailed(Event):
-    """Tell that a lasting task ended on an error nobody foresaw.
+    """Logged when a background task ends with an unexpected error.
 
-    Its traceback follows.
+    The traceback follows.
     """
 
     message = "task failed"
@@ -140,48 +140,54 @@
 
 @event
 class ProcessStalled(Event):
-    """Tell that the process did nothing for a while: frozen, or without processor."""
+    """Logged when the process did not run for a while.
+
+    It was suspended or got no processor time.
+    """
 
     message = "process stalled"
     level = logging.WARNING
 
-    seconds: Annotated[float, "by how much a timer was late, in seconds"]
+    seconds: Annotated[float, "delay of a timer, in seconds"]
 
 
 @event
 class SettingsWarning(Event):
-    """Tell that the settings are valid, but something in them deserves a look."""
+    """Logged when valid settings contain something that should be reviewed."""
 
     message = "settings"
     level = logging.WARNING
 
-    finding: Annotated[str, "the finding and its remedy"]
+    finding: Annotated[str, "the finding and how to resolve it"]
 
 
 @event
 class SettingsReloaded(Event):
-    """Tell that the settings were read again."""
+    """Logged when the settings have been read again."""
 
     message = "settings reloaded"
 
-    seeds: Annotated[list, "the seeds that hold from now on"]
+    seeds: Annotated[list, "the seeds in use from now on"]
 
 
 @event
 class SettingsNotReloaded(Event):
-    """Tell that the settings as they are now have faults; the former ones hold."""
+    """Logged when the changed settings are invalid.
+
+    The previous settings stay in use.
+    """
 
     message = "settings not reloaded"
     level = logging.ERROR
 
-    findings: Annotated[list, "every fault"]
+    findings: Annotated[list, "all errors found"]
 
 
 @event
 class AddressNotWritten(Event):
-    """Tell that the own address could not be written to the store.
+    """Logged when the process can't write its own address to the store.
 
-    The seeds serve meanwhile.
+    The seeds are used meanwhile.
     """
 
     message = "address not written"
@@ -191,7 +197,7 @@
 
 @event
 class GatewayHeard(Event):
-    """Tell that another gateway is heard for the first time, or after a silence."""
+    """Logged when a gateway's first beacon arrives, or its first after a silence."""
 
     message = "gateway heard"
 
@@ -201,7 +207,7 @@
 
 @event
 class PeerGaveNoChanges(Event):
-    """Tell that a gateway that is ahead did not give what it has."""
+    """Logged when a gateway that has newer rows does not send them."""
 
     message = "peer gave no changes"
 
@@ -212,7 +218,7 @@
 
 @event
 class DatagramRefused(Event):
-    """Tell that no process listens where a datagram went."""
+    """Logged when a datagram is sent to an address where no process listens."""
 
     message = "datagram refused"
     level = logging.DEBUG
@@ -222,7 +228,7 @@
 
 @event
 class DatagramNotUnderstood(Event):
-    """Tell that a datagram that came can't be decoded."""
+    """Logged when a received datagram can't be decoded."""
 
     message = "datagram not understood"
     level = logging.WARNING
@@ -233,7 +239,10 @@
 
 @event
 class ConnectionEnded(Event):
-    """Tell that an entry's connection to an agent ended; another one is opened."""
+    """Logged when an entry's connection to an agent ends.
+
+    The entry opens another one.
+    """
 
     message = "connection ended"
 
@@ -243,7 +252,10 @@
 
 @event
 class ConnectionSilent(Event):
-    """Tell that nothing comes on an entry's connection to an agent: it is given up."""
+    """Logged when nothing is received on an entry's connection to an agent.
+
+    The entry closes the connection.
+    """
 
     message = "connection silent"
     level = logging.WARNING
@@ -253,9 +265,9 @@
 
 @event
 class PeerNotReached(Event):
-    """Tell that an entry's connection to another one failed or ended.
+    """Logged when an entry's connection to another entry fails or ends.
 
-    It is tried again.
+    The entry tries again.
     """
 
     message = "peer not reached"
@@ -266,7 +278,7 @@
 
 @event
 class PeerRefused(Event):
-    """Tell that a process connected and did not prove who it is."""
+    """Logged when a process connects and does not prove its identity."""
 
     message = "peer refused"
     level = logging.WARNING
@@ -276,7 +288,7 @@
 
 @event
 class EntryRefused(Event):
-    """Tell that an entry that connected to an agent broke the protocol."""
+    """Logged when an entry that connected to an agent breaks the protocol."""
 
     message = "entry refused"
     level = logging.WARNING
@@ -286,7 +298,10 @@
 
 @event
 class EntrySilent(Event):
-    """Tell that nothing comes from an entry: its connection is given up."""
+    """Logged when nothing is received from an entry.
+
+    The agent closes the connection.
+    """
 
     message = "entry silent"
     level = logging.WARNING
@@ -296,7 +311,7 @@
 
 @event
 class CertificateReloaded(Event):
-    """Tell that a certificate was read again."""
+    """Logged when a certificate has been read again."""
 
     message = "certificate reloaded"
 
@@ -305,7 +320,10 @@
 
 @event
 class CertificateNotReloaded(Event):
-    """Tell that a certificate can't be used; the former one holds."""
+    """Logged when a certificate can't be used.
+
+    The previous certificate stays in use.
+    """
 
     message = "certificate not reloaded"
     level = logging.ERROR
--- a/packages/fescuedrum/src/fescuedrum/events/reference.py
+++ b/packages/fescuedrum/src/fescuedrum/events/reference.py
@@ -1,4 +1,4 @@
-"""Describe the vocabulary as a page for readers."""
+"""Generate the reference page of events."""
 
 import inspect
 import logging
@@ -27,12 +27,12 @@
 
 
 def all_events():
-    """Return every event of the vocabulary."""
+    """Return all events of all modules."""
     return [each for _, module in SUBJECTS for each in events_of(module)]
 
 
 def events_page(title, introduction):
-    """Return a Markdown page with a table for each subject."""
+    """Return a Markdown page with a table of events for each subject."""
     lines = [f"# {title}", "", introduction]
     for heading, module in SUBJECTS:
         lines += ["", f"## {heading}", ""]
@@ -42,6 +42,7 @@
 
 
 def describe_event(cls):
+    """Return an event's row of the table."""
     level = logging.getLevelName(cls.level).lower()
     fields = "; ".join(describe_field(cls, name) for name in cls.__slots__)
     meaning = " ".join(inspect.getdoc(cls).split())
@@ -49,12 +50,13 @@
 
 
 def describe_field(cls, name):
+    """Return the name and description of an event's field."""
     annotated = typing.get_type_hints(cls, include_extras=True)[name]
     return f"`{name}` ({describe_type(annotated)})"
 
 
 def describe_type(annotated):
-    """Return what an annotation says of a field."""
+    """Return the description in a field's annotation."""
     for part in (annotated, *typing.get_args(annotated)):
         if typing.get_origin(part) is typing.Annotated:
             return typing.get_args(part)[1]
--- a/packages/fescuedrum/src/fescuedrum/events/requests.py
+++ b/packages/fescuedrum/src/fescuedrum/events/requests.py
@@ -1,34 +1,34 @@
-"""Tell what becomes of callers' requests."""
+"""Events about the requests of callers."""
 
 import logging
 from typing import Annotated
 
 from fescuedrum.events.event import EndpointName, Error, Event, RequestId, event
 
-# What becomes of a request that was sent.
+# Results of a request that was sent.
 ANSWERED = "answered"
 CUT = "cut"
 
 
 @event
 class RequestSent(Event):
-    """Tell that a request goes to an endpoint."""
+    """Logged when a request is sent to an endpoint."""
 
     message = "request sent"
     routine = True
 
     request: RequestId
     endpoint: EndpointName
-    attempt: Annotated[int, "1 for the first sending of this request"]
+    attempt: Annotated[int, "number of the attempt, 1 for the first"]
     running_there: Annotated[
         int, "requests at the endpoint by all gateways' counts, without this one"
     ]
-    version: Annotated[int, "version of the configuration that decided it"]
+    version: Annotated[int, "version of the configuration that was used"]
 
 
 @event
 class TakenWhileStopping(Event):
-    """Tell that a process that was told to stop takes a request all the same."""
+    """Logged when a process that was told to stop accepts another request."""
 
     message = "request taken while stopping"
 
@@ -41,30 +41,30 @@
 
 @event
 class SendingFailed(Event):
-    """Tell that an endpoint gave no usable answer."""
+    """Logged when an endpoint gives no usable response to a request."""
 
     message = "sending failed"
 
     request: RequestId
     endpoint: EndpointName
-    result: Annotated[str, "`not run` (proved) or `lost` (may have run)"]
-    reason: Annotated[str, "what showed it"]
+    result: Annotated[str, "`not run` (proven) or `lost` (may have run)"]
+    reason: Annotated[str, "how the failure was detected"]
 
 
 @event
 class StreamBroken(Event):
-    """Tell that a stream broke off at its endpoint."""
+    """Logged when a stream breaks off at its endpoint."""
 
     message = "stream broken"
 
     request: RequestId
-    reason: Annotated[str, "what showed it"]
-    last_event: Annotated[str, "id of the last event that the caller has"]
+    reason: Annotated[str, "how the failure was detected"]
+    last_event: Annotated[str, "id of the last event that the caller received"]
 
 
 @event
 class RequestEnded(Event):
-    """Tell that a request that was sent came to its end."""
+    """Logged when a request that was sent to an endpoint ends."""
 
     message = "request ended"
 
@@ -73,9 +73,9 @@
         str, "`answered`, `failed` (the endpoint's own error) or `cut` midway"
     ]
     detail: Annotated[
-        str, "the status, `stream`, or why it was cut, by the process's end too"
+        str, "the HTTP status, `stream`, or why it was cut, also by the process's end"
     ]
-    seconds: Annotated[float, "time since its head was read, in seconds"]
+    seconds: Annotated[float, "time since the request's head was read, in seconds"]
 
     @property
     def routine(self):
@@ -84,33 +84,33 @@
 
 @event
 class RequestRefused(Event):
-    """Tell that a request got an answer of the gateway's own."""
+    """Logged when the gateway refuses a request with a response of its own."""
 
     message = "request refused"
 
     request: RequestId
-    code: Annotated[str, "code of the callers' interface"]
-    detail: Annotated[str, "what decided it"]
+    code: Annotated[str, "error code of the callers' interface"]
+    detail: Annotated[str, "reason for the refusal"]
     status: Annotated[int, "HTTP status"]
-    retry_after: Annotated[float | None, "when to come back, in seconds"]
-    seconds: Annotated[float, "time since its head was read, in seconds"]
+    retry_after: Annotated[float | None, "time after which to retry, in seconds"]
+    seconds: Annotated[float, "time since the request's head was read, in seconds"]
 
 
 @event
 class CallerLeft(Event):
-    """Tell that a caller's connection was gone before its answer was."""
+    """Logged when a caller disconnects before its response is complete."""
 
     message = "caller left"
 
     request: RequestId
-    seconds: Annotated[float, "time since its head was read, in seconds"]
-    last_event: Annotated[str | None, "id of the last event that it has, of a stream"]
+    seconds: Annotated[float, "time since the request's head was read, in seconds"]
+    last_event: Annotated[str | None, "id of the last event received, for a stream"]
     silent_seconds: Annotated[float | None, "time since that event, in seconds"]
 
 
 @event
 class AnswerNotDelivered(Event):
-    """Tell that the connection ended before all of a whole answer had left."""
+    """Logged when a connection ends before a complete response has been sent."""
 
     message = "answer not delivered"
 
@@ -119,9 +119,9 @@
 
 @event
 class RequestHandlerFailed(Event):
-    """Tell that a fault of the process's own code met a request.
+    """Logged when an error in the process's own code fails a request.
 
-    Its traceback follows.
+    The traceback follows.
     """
 
     message = "request broke the process"
@@ -132,27 +132,27 @@
 
 @event
 class RequestNotAnswered(Event):
-    """Tell that an entry's caller got an error for a request that may have run."""
+    """Logged when an entry returns an error for a request that may have run."""
 
     message = "request not answered"
     level = logging.WARNING
 
-    code: Annotated[str, "code of the callers' interface"]
+    code: Annotated[str, "error code of the callers' interface"]
 
 
 @event
 class RequestNotRun(Event):
-    """Tell that an entry refused a request."""
+    """Logged when an entry refuses a request."""
 
     message = "request not run"
     level = logging.DEBUG
 
-    code: Annotated[str, "code of the callers' interface"]
+    code: Annotated[str, "error code of the callers' interface"]
 
 
 @event
 class MalformedHttp(Event):
-    """Tell that bytes that are no HTTP request were refused."""
+    """Logged when received bytes are not a valid HTTP request."""
 
     message = "malformed HTTP refused"
 
@@ -162,9 +162,9 @@
 
 @event
 class CallerLeftKeyed(Event):
-    """Tell that a caller left, and its request goes on.
+    """Logged when a caller disconnects while its keyed request continues.
 
-    Its key may be asked for again.
+    The caller can ask for the result later with the same key.
     """
 
     message = "caller left; its request goes on"
@@ -172,9 +172,9 @@
 
 @event
 class SessionTaskFailed(Event):
-    """Tell that a fault of the agent's own code met a request.
+    """Logged when an error in the agent's own code fails a request.
 
-    Its traceback follows.
+    The traceback follows.
     """
 
     message = "session's task failed"
@@ -183,7 +183,7 @@
 
 @event
 class FairnessFindingReported(Event):
-    """Tell that an organisation is served worse than its peers beyond chance."""
+    """Logged when an organisation is served worse than its peers beyond chance."""
 
     message = "fairness finding"
     level = logging.WARNING
@@ -193,7 +193,7 @@
 
 @event
 class FairnessFindingCleared(Event):
-    """Tell that an organisation is served like its peers again."""
+    """Logged when an organisation is served like its peers again."""
 
     message = "fairness finding cleared"
 
--- a/packages/fescuedrum/src/fescuedrum/events/tables.py
+++ b/packages/fescuedrum/src/fescuedrum/events/tables.py
@@ -1,4 +1,4 @@
-"""Tell what processes believe of the platform's tables, and of what is in them."""
+"""Events about the platform's tables and their contents."""
 
 import logging
 from typing import Annotated
@@ -16,19 +16,22 @@
 
 @event
 class ConfigurationInForce(Event):
-    """Tell that another version of the configuration is in force at this process."""
+    """Logged when another version of the configuration comes into force."""
 
     message = "configuration in force"
 
-    from_version: Annotated[int, "the version before it; -1 for none"]
+    from_version: Annotated[int, "the version before; -1 for none"]
     to_version: Annotated[int, "the version that is in force now"]
-    routes: Annotated[int, "how many routes it has"]
-    organisations: Annotated[int, "how many organisations it has"]
+    routes: Annotated[int, "number of its routes"]
+    organisations: Annotated[int, "number of its organisations"]
 
 
 @event
 class OperatorsRowNotUnderstood(Event):
-    """Tell that a row of the operators can't be decoded; what was in force stays."""
+    """Logged when a row of the operators' table can't be decoded.
+
+    The configuration in force does not change.
+    """
 
     message = "operators' row not understood"
     level = logging.WARNING
@@ -40,7 +43,7 @@
 
 @event
 class ZoneTakenOut(Event):
-    """Tell that operators took an availability zone out of service."""
+    """Logged when operators take an availability zone out of service."""
 
     message = "zone out"
 
@@ -51,7 +54,7 @@
 
 @event
 class ZoneTakenBack(Event):
-    """Tell that operators took an availability zone back into service."""
+    """Logged when operators put an availability zone back into service."""
 
     message = "zone back"
 
@@ -61,21 +64,21 @@
 
 @event
 class EndpointListed(Event):
-    """Tell that an endpoint's line in the list is new, or has changed."""
+    """Logged when an endpoint's row is new or has changed."""
 
     message = "endpoint listed"
 
     row: RowKey
     row_version: RowVersion
-    service: Annotated[str, "service that it is of"]
+    service: Annotated[str, "service that it belongs to"]
     endpoint_zone: Annotated[str, "its availability zone"]
     state: Annotated[str, "`ready` or `leaving`"]
-    cold_seconds: Annotated[float, "for how long it stays cold, in seconds"]
+    cold_seconds: Annotated[float, "time for which it stays cold, in seconds"]
 
 
 @event
 class EndpointUnlisted(Event):
-    """Tell that an endpoint's line is gone from the list."""
+    """Logged when an endpoint's row is removed."""
 
     message = "endpoint unlisted"
 
@@ -85,9 +88,9 @@
 
 @event
 class EndpointRowNotUnderstood(Event):
-    """Tell that a line of the list can't be decoded.
+    """Logged when an endpoint's row can't be decoded.
 
-    It names no endpoint, the others hold.
+    The row counts as removed; the other rows are used.
     """
 
     message = "endpoint row not understood"
@@ -100,7 +103,7 @@
 
 @event
 class EndpointGone(Event):
-    """Tell that an endpoint whose line lapsed did not come back in time."""
+    """Logged when an endpoint whose row lapsed does not come back in time."""
 
     message = "endpoint gone"
 
@@ -109,31 +112,36 @@
 
 @event
 class EndpointLimited(Event):
-    """Tell that an endpoint names another rate of requests, or none any more."""
+    """Logged when an endpoint announces another request rate, or none any more."""
 
     message = "endpoint limited"
 
     endpoint: EndpointName
     per_second: Annotated[
         float | None,
-        "requests a second that it takes from all gateways; null for no limit",
+        "requests per second accepted from all gateways; null for no limit",
+    ]
+    heard_from: Annotated[
+        str, "address of the gateway that reported it; empty if the endpoint did"
     ]
-    heard_from: Annotated[str, "address of the gateway that told; empty: its answer"]
 
 
 @event
 class EndpointRateNotUnderstood(Event):
-    """Tell that an endpoint names a rate that can't be read; it changes nothing."""
+    """Logged when an endpoint announces a rate that can't be parsed.
+
+    The limit in force does not change.
+    """
 
     message = "endpoint rate not understood"
 
     endpoint: EndpointName
-    text: Annotated[str, "what it said"]
+    text: Annotated[str, "the text that it sent"]
 
 
 @event
 class StoreAnswers(Event):
-    """Tell that the platform's store answers this process, as it did not before."""
+    """Logged when the platform's store responds and did not before."""
 
     message = "store answers"
 
@@ -142,17 +150,20 @@
 
 @event
 class StoreLost(Event):
-    """Tell that the platform's store does not answer this process."""
+    """Logged when the platform's store does not respond to this process."""
 
     message = "store lost"
 
     table: TableName
-    detail: Annotated[str, "what became of the call"]
+    detail: Annotated[str, "how the call failed"]
 
 
 @event
 class StoreLeftToOthers(Event):
-    """Tell that enough other gateways follow the store: this one learns from them."""
+    """Logged when a gateway stops following the store.
+
+    Enough other gateways follow it, and this one receives the changes from them.
+    """
 
     message = "store left to others"
 
@@ -161,9 +172,9 @@
 
 @event
 class HistoryLost(Event):
-    """Tell that the store no longer has the changes asked for.
+    """Logged when the store no longer has the requested changes.
 
-    The whole table is read.
+    The whole table is read instead.
     """
 
     message = "history lost"
@@ -173,7 +184,10 @@
 
 @event
 class StaleRead(Event):
-    """Tell that the store answered from behind what is known, and was passed over."""
+    """Logged when the store returns an older version than the known one.
+
+    The read is ignored.
+    """
 
     message = "stale read"
 
@@ -184,31 +198,31 @@
 
 @event
 class RowsTaken(Event):
-    """Tell that rows that are new were taken into the copy of a table."""
+    """Logged when new rows are applied to the local copy of a table."""
 
     message = "rows taken"
     level = logging.DEBUG
 
     table: TableName
-    rows: Annotated[int, "how many"]
-    from_version: Annotated[int, "version of the copy before"]
-    to_version: Annotated[int, "version of the copy now"]
-    source: Annotated[str, "`store`, or the address of the gateway that gave them"]
+    rows: Annotated[int, "number of rows"]
+    from_version: Annotated[int, "version of the copy before them"]
+    to_version: Annotated[int, "version of the copy with them"]
+    source: Annotated[str, "`store`, or the address of the gateway that sent them"]
 
 
 @event
 class InstanceNotUnderstood(Event):
-    """Tell that a line of the instance list can't be decoded and was left out."""
+    """Logged when a line of the instance list can't be decoded and is skipped."""
 
     message = "instance not understood"
     level = logging.WARNING
 
-    faults: Annotated[list, "what is wrong with it"]
+    faults: Annotated[list, "errors in the line"]
 
 
 @event
 class InstancesNotRead(Event):
-    """Tell that the instance list could not be read; what is known holds."""
+    """Logged when the instance list can't be read; the last one stays in use."""
 
     message = "instances not read"
 
@@ -217,9 +231,9 @@
 
 @event
 class HeadNotRead(Event):
-    """Tell that the newest version's number could not be read.
+    """Logged when the number of the newest version can't be read.
 
-    What is in force holds.
+    The version in force does not change.
     """
 
     message = "head not read"
@@ -229,9 +243,9 @@
 
 @event
 class AgesNotRead(Event):
-    """Tell that the bucket of keys' ages could not be read.
+    """Logged when the current age bucket of keys can't be read.
 
-    Keys are not taken meanwhile.
+    Keyed requests are not accepted until it has been read once.
     """
 
     message = "ages not read"
@@ -241,7 +255,7 @@
 
 @event
 class VersionInForce(Event):
-    """Tell that another version of the document is in force at this process."""
+    """Logged when another version of the document comes into force."""
 
     message = "version in force"
 
@@ -250,7 +264,7 @@
 
 @event
 class DocumentDropped(Event):
-    """Tell that a document came whose hash is another than was announced."""
+    """Logged when a received document does not have the announced hash."""
 
     message = "document with a wrong hash dropped"
     level = logging.WARNING
@@ -260,29 +274,32 @@
 
 @event
 class DocumentNotUnderstood(Event):
-    """Tell that a document can't be decoded; the version in force stays."""
+    """Logged when a document can't be decoded; the version in force stays."""
 
     message = "document not understood"
     level = logging.ERROR
 
     version: Annotated[int, "version of the document"]
-    faults: Annotated[list, "the first of its faults"]
+    faults: Annotated[list, "the first errors in it"]
 
 
 @event
 class ChangeAccepted(Event):
-    """Tell that a change of the document was accepted."""
+    """Logged when a change of the document is accepted."""
 
     message = "change accepted"
 
-    version: Annotated[int, "the version that it made"]
+    version: Annotated[int, "the version that it created"]
     change: Annotated[str, "id of the change"]
     who: Annotated[str, "name of the operator"]
 
 
 @event
 class LeaseNotRenewed(Event):
-    """Tell that a lease could not be taken or renewed; it lapses if this goes on."""
+    """Logged when a lease can't be acquired or renewed.
+
+    A held lease expires if this continues.
+    """
 
     message = "lease not renewed"
 
--- a/tests/unit/test_events.py
+++ b/tests/unit/test_events.py
@@ -1,4 +1,4 @@
-"""Check that the vocabulary of log lines is closed, described, and in use."""
+"""Check that all log lines come from events that are documented and in use."""
 
 import ast
 import json
@@ -43,7 +43,7 @@
 
 
 def test_only_events_are_logged():
-    """A line can't be found by its message: it is worded anew at each place."""
+    """A line with free text can't be found by its message in the reference."""
     calls = [
         f"{path.name}:{node.lineno}"
         for path in sources()
@@ -59,28 +59,28 @@
 
 
 @pytest.mark.parametrize("event", EVENTS, ids=lambda event: event.__name__)
-def test_each_event_is_told_somewhere(event):
-    """A page for operators tells of lines that no process has written for years."""
-    tellers = [
+def test_each_event_is_logged_somewhere(event):
+    """The operators' page would list lines that no process writes any more."""
+    users = [
         path
         for path in sources()
         if "events" not in path.parts and event.__name__ in path.read_text()
     ]
-    assert tellers != []
+    assert users != []
 
 
 @pytest.mark.parametrize("event", EVENTS, ids=lambda event: event.__name__)
-def test_no_field_has_a_name_that_log_records_use_themselves(event):
-    """Writing a line raises KeyError, and the request that it was about is lost."""
+def test_no_field_is_named_like_an_attribute_of_log_records(event):
+    """Logging such an event raises KeyError and fails the request."""
     assert not set(event.__slots__) & STANDARD_ATTRIBUTES
 
 
-def test_messages_tell_events_apart():
+def test_messages_of_events_are_unique():
     messages = [event.message for event in EVENTS]
     assert len(messages) == len(set(messages)) > 60
 
 
-def test_a_line_holds_the_fields_that_have_a_value():
+def test_a_line_has_only_the_fields_with_a_value():
     refused = RequestRefused("r-1", "overloaded", "all-full", 503, None, 0.01)
     line = format_event(refused)
     assert line["message"] == "request refused"
@@ -88,12 +88,12 @@
     assert "retry_after" not in line
 
 
-def test_answered_requests_are_left_out_before_failed_ones():
+def test_only_answered_requests_are_routine():
     assert RequestEnded("r-1", "answered", "stream", 0.2).routine
     assert not RequestEnded("r-1", "cut", "reset", 0.2).routine
 
 
-def test_the_page_tells_of_each_event_and_field():
+def test_the_page_lists_each_event_and_field():
     page = reference.events_page("Events", "")
     for event in EVENTS:
         assert f"`{event.message}`" in page
