--- a/packages/fescuedrum/src/fescuedrum/platform/__init__.py
+++ b/packages/fescuedrum/src/fescuedrum/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Reach the platform: table service, object store and instance list."""
+"""Access the platform's table service, object store and instance list."""
--- a/packages/fescuedrum/src/fescuedrum/platform/caller.py
+++ b/packages/fescuedrum/src/fescuedrum/platform/caller.py
@@ -1,4 +1,4 @@
-"""Make single calls to the platform over HTTP."""
+"""Send single HTTP requests to the platform."""
 
 import json
 
@@ -6,22 +6,24 @@
 
 from fescuedrum.exceptions import StoreUnavailable
 
-# A healthy store answers within milliseconds, one under stress within some tenths.
+# A healthy store responds within milliseconds, a loaded one within a few 100 ms.
 DEFAULT_TIMEOUT_SECONDS = 2.0
-# Connecting within one place takes milliseconds; a machine that is gone never answers.
+# Connecting within one site takes milliseconds; a host that is down never responds.
 CONNECT_SECONDS = 1.0
 
 
 def decode(body):
-    """Decode an answer; an answer that is no JSON is none."""
+    """Return a response's JSON; raise StoreUnavailable if it is not JSON."""
     try:
         return json.loads(body)
     except ValueError as error:
-        raise StoreUnavailable(f"The platform's answer is no JSON: {error}.") from error
+        raise StoreUnavailable(
+            f"The platform's response is not JSON: {error}."
+        ) from error
 
 
 class PlatformCaller:
-    """Make calls to one base URL; every failure is StoreUnavailable."""
+    """Send requests to one base URL; every failure raises StoreUnavailable."""
 
     __slots__ = ("base_url", "session", "timeout")
 
@@ -31,7 +33,10 @@
         self.timeout = timeout
 
     async def call(self, method, path, *, accept=(), timeout=None, **arguments):
-        """Return (status, body); raise StoreUnavailable on any other ending."""
+        """Return (status, body); raise StoreUnavailable on any failure.
+
+        Statuses other than 200 are failures unless they are in accept.
+        """
         limits = aiohttp.ClientTimeout(
             total=timeout or self.timeout, sock_connect=CONNECT_SECONDS
         )
@@ -42,12 +47,15 @@
                 body = await response.read()
                 if response.status == 200 or response.status in accept:
                     return response.status, body
-                raise StoreUnavailable(f"The platform answered {response.status}.")
+                raise StoreUnavailable(
+                    f"The platform responded with status {response.status}."
+                )
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
             raise StoreUnavailable(
-                f"The platform gave no answer: {error!r}."
+                f"The platform did not respond: {error!r}."
             ) from error
 
     async def call_json(self, method, path, **arguments):
+        """Return the decoded JSON of a response."""
         _, body = await self.call(method, path, **arguments)
         return decode(body)
--- a/packages/fescuedrum/src/fescuedrum/platform/client.py
+++ b/packages/fescuedrum/src/fescuedrum/platform/client.py
@@ -1,4 +1,4 @@
-"""Reach the platform's services over HTTP."""
+"""Access the platform's services over HTTP."""
 
 import base64
 import logging
@@ -15,14 +15,14 @@
 CONFLICT = 409
 GONE = 410
 NOT_FOUND = 404
-# A call that waits for changes is answered within its wait and this.
+# A call that waits for changes gets its response within its wait and this margin.
 CHANGES_TIMEOUT_MARGIN_SECONDS = 1.5
 
 
 def load_instances(lines):
-    """Build the instances of a list; leave out lines that are not understood.
+    """Return the instances of a list, without the lines that can't be decoded.
 
-    One odd line would otherwise keep every process from learning of all the others.
+    Otherwise one invalid line would hide all other instances from every process.
     """
     instances = []
     for line in lines:
@@ -42,26 +42,31 @@
 
     def __init__(self, base_url, session, *, timeout=DEFAULT_TIMEOUT_SECONDS):
         self.caller = PlatformCaller(base_url, session, timeout=timeout)
-        # The list read last, as bytes and as instances.
+        # The instance list read last, as bytes and decoded.
         self.listing = b""
         self.instances = []
 
     async def call(self, method, path, **arguments):
+        """Send a request and return (status, body)."""
         return await self.caller.call(method, path, **arguments)
 
     async def call_json(self, method, path, **arguments):
+        """Send a request and return the decoded JSON of the response."""
         _, body = await self.call(method, path, **arguments)
         return decode(body)
 
     async def get(self, key):
+        """Return the row of the table with a key."""
         row = await self.call_json("GET", "/table/row", params={"key": key})
         return Row(**row)
 
     async def scan(self, prefix):
+        """Return the rows of the table whose keys begin with a prefix."""
         rows = await self.call_json("GET", "/table/scan", params={"prefix": prefix})
         return [Row(**row) for row in rows]
 
     async def transact(self, writes):
+        """Apply all writes or none; return False if an expected version differs."""
         payload = [schema.dump(write) for write in writes]
         status, _ = await self.call(
             "POST", "/table/transact", json=payload, accept=(CONFLICT,)
@@ -69,25 +74,30 @@
         return status != CONFLICT
 
     async def get_object(self, name):
+        """Return an object's body; None if it does not exist."""
         status, body = await self.call("GET", f"/objects/{name}", accept=(NOT_FOUND,))
         return None if status == NOT_FOUND else body
 
     async def put_object(self, name, body):
+        """Store an object."""
         await self.call("PUT", f"/objects/{name}", data=body)
 
     async def list_instances(self):
+        """Return all listed instances."""
         _, listing = await self.call("GET", "/instances")
-        # It is read often and changes seldom; building 1,500 lines takes long.
+        # The list is read often and changes seldom; decoding 1,500 lines is slow.
         if listing != self.listing:
             self.instances = load_instances(decode(listing))
             self.listing = listing
         return self.instances
 
     async def read_table(self, table):
+        """Return all rows of a table as Changes."""
         found = await self.call_json("GET", f"/tables/{table}")
         return load_changes(found, whole=True)
 
     async def wait_for_changes(self, table, after, wait_seconds):
+        """Return rows changed after a version; raise HistoryLost if it is too old."""
         status, body = await self.call(
             "GET",
             f"/tables/{table}/changes",
@@ -96,15 +106,18 @@
             timeout=wait_seconds + CHANGES_TIMEOUT_MARGIN_SECONDS,
         )
         if status == GONE:
-            raise HistoryLost(f"Changes of {table} after {after} are forgotten.")
+            raise HistoryLost(
+                f"The store has no history of {table} after version {after}."
+            )
         return load_changes(decode(body), whole=False)
 
     async def put_row(self, table, key, value):
+        """Write a row of a table."""
         await self.call("PUT", f"/tables/{table}/{key}", data=value)
 
 
 def load_changes(data, *, whole):
-    """Build changes from the platform's JSON; raise StoreUnavailable if malformed."""
+    """Return the changes in a response's JSON; raise StoreUnavailable if malformed."""
     try:
         rows = [
             VersionedRow(
@@ -116,4 +129,6 @@
         ]
         return Changes(rows, data["version"], whole)
     except (KeyError, TypeError, ValueError) as error:
-        raise StoreUnavailable(f"The platform's rows are odd: {error!r}.") from error
+        raise StoreUnavailable(
+            f"The platform's rows are malformed: {error!r}."
+        ) from error
--- a/packages/fescuedrum/src/fescuedrum/platform/interfaces.py
+++ b/packages/fescuedrum/src/fescuedrum/platform/interfaces.py
@@ -1,4 +1,4 @@
-"""Define what the system needs of the platform, one protocol class for each part."""
+"""Define what the system requires of the platform, one protocol for each service."""
 
 import enum
 from dataclasses import dataclass
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Row:
-    """Hold a row of the table; version 0 means that it does not exist."""
+    """Hold a row of the table; version 0 means that the row does not exist."""
 
     key: str
     value: dict | None
@@ -20,11 +20,13 @@
 
     key: str
     value: dict | None
-    # None writes whatever the row's version is.
+    # None writes regardless of the row's version.
     expected_version: int | None
 
 
 class InstanceState(enum.StrEnum):
+    """List the states of an instance."""
+
     LIVE = "live"
     LEAVING = "leaving"
 
@@ -41,44 +43,57 @@
     state: InstanceState = InstanceState.LIVE
     endpoint: str = ""
     service: str = ""
-    # Where an entry takes connections of other entries; 0 for nowhere.
+    # Port where an entry accepts connections of other entries; 0 for none.
     peer_port: int = 0
 
 
 class Table(Protocol):
-    """Reach the transactional table service; raise StoreUnavailable on no answer."""
+    """Access the transactional table; raise StoreUnavailable without a response."""
 
-    async def get(self, key: str) -> Row: ...
+    async def get(self, key: str) -> Row:
+        """Return the row with a key."""
+        ...
 
-    async def scan(self, prefix: str) -> list[Row]: ...
+    async def scan(self, prefix: str) -> list[Row]:
+        """Return all rows whose keys begin with a prefix."""
+        ...
 
     async def transact(self, writes: list[Write]) -> bool:
         """Apply all writes or none; return False when an expected version differs.
 
-        StoreUnavailable leaves open whether the writes took effect.
+        After StoreUnavailable the writes may or may not have taken effect.
         """
         ...
 
 
 class ObjectStore(Protocol):
-    """Reach the object store; raise StoreUnavailable on no answer."""
+    """Access the object store; raise StoreUnavailable without a response."""
 
-    async def get_object(self, name: str) -> bytes | None: ...
+    async def get_object(self, name: str) -> bytes | None:
+        """Return an object's body; None if it does not exist."""
+        ...
 
-    async def put_object(self, name: str, body: bytes) -> None: ...
+    async def put_object(self, name: str, body: bytes) -> None:
+        """Store an object."""
+        ...
 
 
 class InstanceList(Protocol):
-    """Reach the lagging list of instances; raise StoreUnavailable on no answer."""
+    """Access the list of instances, which lags behind their real state.
+
+    Methods raise StoreUnavailable without a response.
+    """
 
-    async def list_instances(self) -> list[Instance]: ...
+    async def list_instances(self) -> list[Instance]:
+        """Return all listed instances."""
+        ...
 
 
 @dataclass(slots=True, frozen=True)
 class VersionedRow:
-    """Hold a row as bytes; value None says that it was deleted.
+    """Hold a row as bytes; value None means that it was deleted.
 
-    version comes from one counter of the whole store, which rises with each change.
+    version comes from a counter of the whole store, which rises with each change.
     """
 
     key: str
@@ -92,12 +107,12 @@
 
     rows: list[VersionedRow]
     version: int
-    # All rows of the table: what is absent does not exist.
+    # Whether rows holds the whole table; rows that are absent do not exist then.
     whole: bool = False
 
 
 class RowStore(Protocol):
-    """Follow tables of rows; raise StoreUnavailable on no answer."""
+    """Read and follow tables of rows; raise StoreUnavailable without a response."""
 
     async def read_table(self, table: str) -> Changes:
         """Return all rows of a table."""
@@ -108,10 +123,10 @@
     ) -> Changes:
         """Return rows changed after a version as soon as there are some.
 
-        Raise HistoryLost when the store no longer knows what has changed.
+        Raise HistoryLost if the store no longer has the changes since that version.
         """
         ...
 
     async def put_row(self, table: str, key: str, value: bytes) -> None:
-        """Write a row; StoreUnavailable leaves open whether it took effect."""
+        """Write a row; after StoreUnavailable it may or may not have taken effect."""
         ...
--- a/packages/fescuedrum/src/fescuedrum/platform/leases.py
+++ b/packages/fescuedrum/src/fescuedrum/platform/leases.py
@@ -1,4 +1,4 @@
-"""Hold leases on rows of the platform's table for singleton duties."""
+"""Hold leases on rows of the platform's table for duties of a single process."""
 
 import asyncio
 import logging
@@ -15,17 +15,18 @@
 
 
 def lease_key(name):
+    """Return the key of a lease's row."""
     return f"lease/{name}"
 
 
 class Lease:
-    """Try to hold one lease; run() keeps trying until it is cancelled.
+    """Acquire and renew one lease; run() continues until it is cancelled.
 
-    holder must differ between two starts of a process. Every order that is given
-    under the lease must carry fence: receivers refuse a lower one.
+    holder must differ between two starts of a process. Every order that is sent under
+    the lease must carry its fence: receivers refuse orders with a lower one.
     """
 
-    __slots__ = ("key", "loop", "random", "table", "term", "writes")
+    __slots__ = ("key", "loop", "random", "table", "term", "write_count")
 
     def __init__(self, table, name, holder, random, *, duration=DURATION_SECONDS):
         self.table = table
@@ -33,27 +34,27 @@
         self.term = LeaseTerm(holder, duration)
         self.random = random
         self.loop = asyncio.get_running_loop()
-        self.writes = 0
+        self.write_count = 0
 
     @property
     def fence(self):
-        """Return the fencing number to act under; None while the lease is not held."""
+        """Return the fencing number of the held lease; None while it is not held."""
         return self.term.fence if self.term.holds(self.loop.time()) else None
 
     async def run(self):
-        """Take, renew and take again, at jittered intervals."""
+        """Acquire and renew the lease, at jittered intervals."""
         while True:
             try:
                 await self.step()
             except StoreUnavailable as error:
                 log_event(logger, LeaseNotRenewed(self.key, str(error)))
-            # Jitter keeps the challengers of one lease from asking in step.
+            # Jitter keeps the processes that want one lease from reading in lockstep.
             await asyncio.sleep(
                 self.term.renewal_interval * self.random.uniform(0.8, 1)
             )
 
     async def step(self):
-        """Read the row and do what it calls for; raise StoreUnavailable."""
+        """Read the row, then acquire or renew the lease; raise StoreUnavailable."""
         row = await self.table.get(self.key)
         value = row.value or {}
         holder = value.get("holder", "")
@@ -68,23 +69,25 @@
                 pass
 
     async def write(self, fence, expected_version):
-        """Write ourselves as the holder.
+        """Write this process as the holder.
 
-        The answer may be lost after the write took effect: the exception leaves the
-        term as it was, and the next read shows our name in the row, which renews it.
+        The response may be lost after the write took effect. The exception then leaves
+        the term as it was; the next read finds this holder in the row, and the lease
+        is renewed.
         """
         value = {"holder": self.term.holder, "fence": fence}
         sent_at = self.loop.time()
-        self.writes += 1
+        self.write_count += 1
         if await self.table.transact([Write(self.key, value, expected_version)]):
             self.term.record_written(fence, expected_version + 1, sent_at)
         else:
             self.term.lost()
 
     async def release(self):
-        """Give the lease up, so that a successor need not wait; keep the row.
+        """Release the lease, so that its next holder need not wait; keep the row.
 
-        A deleted row would start again at version 1, and fencing numbers would fall.
+        If the row were deleted, its version would start again at 1 and fencing numbers
+        would fall.
         """
         if self.fence is None:
             return
--- a/tests/unit/test_leases.py
+++ b/tests/unit/test_leases.py
@@ -1,4 +1,4 @@
-"""Check leases on the paused clock against a table held in memory."""
+"""Check leases on a paused clock against a table in memory."""
 
 import asyncio
 import random
@@ -13,15 +13,14 @@
     return Lease(table, "zone-1", holder, random.Random(seed), duration=6.0)
 
 
-def test_a_paused_holder_does_no_harm():
-    """A rebalancing order arrives from an entry that lost the duty long ago.
+def test_a_paused_holder_no_longer_holds_and_has_a_lower_fence():
+    """The holder is paused past its lease, and another entry takes over.
 
-    The holder is paused past its lease and another entry takes over. Waking, the
-    first must see that it no longer holds, and its old number must be below the
-    new holder's, so that a receiver refuses an order that was already on its way.
+    Afterwards the first must see that it no longer holds the lease. Its old fence must
+    be lower than the new one, so that receivers refuse orders that are under way.
     """
 
-    async def story():
+    async def scenario():
         table = MemoryTable()
         first, second = build_lease(table, "a#1"), build_lease(table, "b#1")
         await first.step()
@@ -36,11 +35,11 @@
         assert first.fence is None
         task.cancel()
 
-    run_paused(story())
+    run_paused(scenario())
 
 
-def test_a_renewed_lease_is_kept_and_its_number_stays():
-    async def story():
+def test_a_renewed_lease_keeps_its_holder_and_fence():
+    async def scenario():
         table = MemoryTable()
         leases = [build_lease(table, name, index) for index, name in enumerate("abc")]
         await leases[0].step()
@@ -52,17 +51,17 @@
         for task in tasks:
             task.cancel()
 
-    run_paused(story())
+    run_paused(scenario())
 
 
-def test_a_lost_answer_is_settled_by_reading_back():
-    """The table takes the write but its answer is lost on the way.
+def test_a_write_without_a_response_is_resolved_by_the_next_read():
+    """The table applies the write, but its response is lost.
 
-    If the entry took the silence for a refusal, nobody would hold the duty for a
-    whole term; if it took it for success, two could hold it.
+    If the entry assumed a failure, nobody would hold the lease for a whole term; if it
+    assumed success, two processes could hold it.
     """
 
-    async def story():
+    async def scenario():
         table = MemoryTable()
         lease = build_lease(table, "a#1")
         table.lost_answers = 1
@@ -73,11 +72,11 @@
         assert lease.fence == 1
         task.cancel()
 
-    run_paused(story())
+    run_paused(scenario())
 
 
-def test_a_released_lease_is_taken_at_once_under_a_higher_number():
-    async def story():
+def test_a_released_lease_is_acquired_at_once_with_a_higher_fence():
+    async def scenario():
         table = MemoryTable()
         first, second = build_lease(table, "a#1"), build_lease(table, "a#2")
         await first.step()
@@ -87,11 +86,11 @@
         assert first.fence is None
         assert second.fence > old
 
-    run_paused(story())
+    run_paused(scenario())
 
 
-def test_never_two_holders_under_pauses_outages_and_lost_answers():
-    async def story(seed):
+def test_two_processes_never_hold_a_lease_despite_pauses_and_lost_responses():
+    async def scenario(seed):
         chooser = random.Random(seed)
         table = MemoryTable()
         leases = [build_lease(table, name, index) for index, name in enumerate("abcd")]
@@ -108,4 +107,4 @@
         assert highest > 1
 
     for seed in range(10):
-        run_paused(story(seed))
+        run_paused(scenario(seed))
