--- a/packages/fescuedrum/src/fescuedrum/versions/apply.py
+++ b/packages/fescuedrum/src/fescuedrum/versions/apply.py
@@ -1,4 +1,4 @@
-"""Accept a change: check it, compare and set the head, and know that it is so."""
+"""Accept changes of the document: check them, then compare and set the head."""
 
 import asyncio
 import logging
@@ -30,14 +30,14 @@
 logger = logging.getLogger(__name__)
 
 # An operator waits this long at most to learn whether a change was accepted.
-SETTLE_SECONDS = 10.0
+COMMIT_TIMEOUT_SECONDS = 10.0
 RETRY_SECONDS = 0.1
-MAXIMUM_WORDS = 50
+MAXIMUM_LISTED_CHANGES = 50
 
 
 @dataclass(slots=True)
 class Proposal:
-    """Hold a change that someone asks for; change is its id, the same when repeated."""
+    """Hold a requested change; change is its id, the same when repeated."""
 
     base_version: int
     document: documents.Document
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AcceptedChange:
-    """Say that a change is known to be accepted."""
+    """Hold the version that an accepted change created."""
 
     version: int
     document_hash: str
@@ -67,15 +67,16 @@
         self.loop = asyncio.get_running_loop()
 
     async def apply(self, proposal, served=None):
-        """Return an AcceptedChange, or raise why not.
+        """Make a proposal the next version and return it as an AcceptedChange.
 
-        ChangeInvalid and ChangeRaced say that nothing was accepted, StoreUnavailable
-        that nothing was tried, ChangeUnsettled that it may yet turn out accepted.
+        Raise ChangeInvalid or ChangeRaced if the change was not accepted,
+        StoreUnavailable if it was not attempted, and ChangeUnsettled if it may still
+        turn out to be accepted.
         """
         head, row_version = await read_head(self.platform)
         body = documents.encode_canonical(proposal.document)
         if head.version != proposal.base_version:
-            return await self.find_earlier(proposal, head, body)
+            return await self.find_accepted(proposal, head, body)
         base = await self.read_document(head.hash)
         changes = diff(base, proposal.document)
         check_proposal(base, proposal, changes, served)
@@ -90,22 +91,23 @@
         log_event(logger, ChangeAccepted(record.version, record.change, record.who))
         return AcceptedChange(record.version, record.after, body)
 
-    async def find_earlier(self, proposal, head, body):
-        """Find that the change was accepted before, or show both sides of the race."""
+    async def find_accepted(self, proposal, head, body):
+        """Return the change if it was accepted before; raise ChangeRaced otherwise."""
         version = proposal.base_version + 1
         record = load_record(await self.platform.get(audit_key(version)))
         if record is not None and record.change == proposal.change:
             return AcceptedChange(version, record.after, body)
-        raise await self.describe_race(proposal, head)
+        raise await self.build_race_error(proposal, head)
 
     async def commit(self, writes, record, proposal):
-        """Write until it is known who made the version.
+        """Write until it is known whose change became the version.
 
-        An answer can be lost after the write took effect, and a write whose answer
-        never came can still arrive late. Asking again is safe: the expected versions
-        let it take effect once, and the audit row then tells whose change it was.
+        A response can be lost after the write took effect, and a write without a
+        response can still take effect late. Writing again is safe: the expected
+        versions let it take effect once, and the audit row then shows whose change was
+        accepted.
         """
-        deadline = self.loop.time() + SETTLE_SECONDS
+        deadline = self.loop.time() + COMMIT_TIMEOUT_SECONDS
         while True:
             try:
                 if await self.platform.transact(writes):
@@ -119,16 +121,17 @@
         winner = load_record(row)
         if winner is None or winner.change != record.change:
             head, _ = await read_head(self.platform)
-            raise await self.describe_race(proposal, head)
+            raise await self.build_race_error(proposal, head)
 
-    async def describe_race(self, proposal, head):
+    async def build_race_error(self, proposal, head):
+        """Return a ChangeRaced that lists the changes of both sides."""
         base_record = load_record(
             await self.platform.get(audit_key(proposal.base_version))
         )
         base = await self.read_document(base_record.after if base_record else "")
         theirs = await self.read_document(head.hash)
         return ChangeRaced(
-            f"Version {head.version} is in force; yours began at"
+            f"Version {head.version} is in force; the change is based on version"
             f" {proposal.base_version}.",
             head_version=head.version,
             mine=[str(each) for each in diff(base, proposal.document)],
@@ -136,23 +139,23 @@
         )
 
     async def read_document(self, document_hash):
-        """Return an accepted document; the one before the first is empty."""
+        """Return the accepted document with a hash; an empty one for an empty hash."""
         if not document_hash:
             return documents.Document([], [], [])
         body = await self.platform.get_object(object_name(document_hash))
         if body is None:
-            raise StoreUnavailable(f"The object store lacks document {document_hash}.")
+            raise StoreUnavailable(f"The object store has no document {document_hash}.")
         return documents.decode(body).unwrap()
 
 
 def check_proposal(base, proposal, changes, served):
-    """Raise ChangeInvalid with every finding that stops the change."""
+    """Raise ChangeInvalid with all findings if one of them is an error."""
     findings = documents.check_document(proposal.document)
     findings += check_change(base, proposal.document, proposal.allowed, served)
     if not changes:
         findings.append(
             checks.error(
-                "change.E003", "$", "The change changes nothing.", "Change something."
+                "change.E003", "$", "The change has no effect.", "Change something."
             )
         )
     if checks.has_errors(findings):
@@ -160,10 +163,14 @@
 
 
 def build_record(proposal, head, document_hash, changes):
-    words = [str(change) for change in changes]
-    if len(words) > MAXIMUM_WORDS:
-        more = len(words) - MAXIMUM_WORDS
-        words = [*words[:MAXIMUM_WORDS], f"and {more} more changes"]
+    """Return the audit record of a proposal that follows the head's version."""
+    descriptions = [str(change) for change in changes]
+    if len(descriptions) > MAXIMUM_LISTED_CHANGES:
+        more = len(descriptions) - MAXIMUM_LISTED_CHANGES
+        descriptions = [
+            *descriptions[:MAXIMUM_LISTED_CHANGES],
+            f"and {more} more changes",
+        ]
     record = AuditRecord(
         version=head.version + 1,
         change=proposal.change,
@@ -171,7 +178,7 @@
         when=proposal.when,
         before=head.hash,
         after=document_hash,
-        words=words,
+        words=descriptions,
         allowed=list(proposal.allowed),
         note=proposal.note,
         previous=head.chain,
--- a/packages/fescuedrum/src/fescuedrum/versions/configuration.py
+++ b/packages/fescuedrum/src/fescuedrum/versions/configuration.py
@@ -1,4 +1,4 @@
-"""Hold the configuration version in force at a process."""
+"""Hold the version of the configuration that is in force at a process."""
 
 import logging
 import zlib
@@ -18,10 +18,10 @@
 
 
 class Configuration:
-    """Keep the newest document seen.
+    """Hold the newest document received, indexed by names.
 
-    Reads of the head can be stale, peers can lag and frames can come late or twice;
-    every one of them ends in update_if_newer(), which lets the version only rise.
+    Reads of the head can be stale, peers can lag, and frames can arrive late or twice.
+    All of them go through update_if_newer(), where the version only rises.
     """
 
     __slots__ = (
@@ -56,11 +56,11 @@
         self.listeners = []
 
     def subscribe(self, listener):
-        """Call listener() after each new version is in force."""
+        """Call listener() after each new version comes into force."""
         self.listeners.append(listener)
 
     def update_if_newer(self, version, document_hash, body):
-        """Take a document if it is newer, whole and understood; tell whether."""
+        """Put a document in force if it is newer and valid; return whether it is."""
         if version <= self.version:
             return False
         if documents.document_hash(body) != document_hash:
@@ -83,6 +83,7 @@
         return True
 
     def activate(self, document):
+        """Put a decoded document in force and index its parts by name."""
         self.document = document
         self.classes = {each.name: each for each in document.classes}
         self.endpoints = {each.name: each for each in document.endpoints}
@@ -98,19 +99,19 @@
         )
 
     def is_zone_out(self, name):
-        """Tell whether operators have taken a zone out."""
+        """Return whether operators have taken a zone out of service."""
         return name in self.zones_out
 
     def update_from_frame(self, frame):
-        """Take the document that a peer sent."""
+        """Put the document of a peer's frame in force if it is newer and valid."""
         body = frame.body
         if frame.compressed:
-            # The bound keeps a faulty peer from filling the memory.
+            # The limit keeps a faulty peer from exhausting the memory.
             body = zlib.decompressobj().decompress(body, MAXIMUM_DOCUMENT_BYTES)
         return self.update_if_newer(frame.version, frame.document_hash, body)
 
     def answer(self, pull):
-        """Return the frame that answers a peer's pull; None when it is not held."""
+        """Return the frame that a peer's pull requests; None if it is not in force."""
         if not self.body or pull.document_hash not in (None, self.document_hash):
             return None
         if not self.compressed:
--- a/packages/fescuedrum/src/fescuedrum/versions/pulling.py
+++ b/packages/fescuedrum/src/fescuedrum/versions/pulling.py
@@ -1,28 +1,28 @@
-"""Decide from whom to pull a newer version."""
+"""Decide from which peer to pull a newer version."""
 
 PULL_TIMEOUT_SECONDS = 1.0
 
 
 class PullThrottle:
-    """Ask one peer for each new version, and another when that one stays silent.
+    """Pull each new version from one peer, and from another if that one is silent.
 
-    Many peers announce one version within milliseconds; without this each would be
-    asked for the whole document.
+    Many peers announce the same version within milliseconds. Without the limit, the
+    whole document would be requested from each of them.
     """
 
-    __slots__ = ("asked_at", "asked_version")
+    __slots__ = ("requested_at", "requested_version")
 
     def __init__(self):
-        self.asked_version = 0
-        self.asked_at = 0.0
+        self.requested_version = 0
+        self.requested_at = 0.0
 
     def should_pull(self, announced, in_force, now):
-        """Tell whether to pull a version that a peer announced, and remember it."""
+        """Return whether to pull a version that a peer announced, and remember it."""
         if announced <= in_force:
             return False
-        waiting = now - self.asked_at < PULL_TIMEOUT_SECONDS
-        if announced <= self.asked_version and waiting:
+        is_waiting = now - self.requested_at < PULL_TIMEOUT_SECONDS
+        if announced <= self.requested_version and is_waiting:
             return False
-        self.asked_version = announced
-        self.asked_at = now
+        self.requested_version = announced
+        self.requested_at = now
         return True
--- a/packages/fescuedrum/src/fescuedrum/versions/records.py
+++ b/packages/fescuedrum/src/fescuedrum/versions/records.py
@@ -1,4 +1,4 @@
-"""Define the rows that accepted versions leave in the platform's table."""
+"""Define the rows of accepted versions in the platform's table."""
 
 import hashlib
 import json
@@ -9,51 +9,55 @@
 
 HEAD_KEY = "configuration/head"
 VERSION_DIGITS = 10
-# Audit rows are read a hundred at a time, by the digits that they share.
+# Audit rows are read in blocks of a hundred, by the leading digits that they share.
 BLOCK_DIGITS = 8
 BLOCK_ROWS = 10 ** (VERSION_DIGITS - BLOCK_DIGITS)
 
 
 def object_name(document_hash):
+    """Return the name of a document in the object store."""
     return f"configuration-{document_hash}"
 
 
 def audit_key(version):
+    """Return the key of a version's audit row."""
     return f"audit/{version:0{VERSION_DIGITS}d}"
 
 
-def audit_block(version):
-    """Return the prefix of the keys of the block that holds a version."""
+def audit_block_prefix(version):
+    """Return the key prefix of the block of audit rows that holds a version."""
     return audit_key(version)[: -(VERSION_DIGITS - BLOCK_DIGITS)]
 
 
 @dataclass(slots=True)
 class Head:
-    """Hold the head row: the newest accepted version."""
+    """Hold the head row, which names the newest accepted version."""
 
-    version: int = setting(0, help="Number of the version.")
+    version: int = setting(0, help="Number of the newest version.")
     hash: str = setting("", help="Hash of its document.")
     chain: str = setting("", help="Chained hash of its audit row.")
 
 
 @dataclass(slots=True)
 class AuditRecord:
-    """Hold one audit row: who changed what, when, from what to what."""
+    """Hold one audit row: who changed the document, when and how."""
 
-    version: int = setting(help="Version that the change made.")
-    change: str = setting(help="Id of the change, chosen by who asked for it.")
+    version: int = setting(help="Version that the change created.")
+    change: str = setting(help="Id of the change, chosen by the client.")
     who: str = setting(help="Name of the operator.")
     when: str = setting(help="Time of the entry that accepted it, in UTC.")
-    before: str = setting(help="Hash of the document before.")
-    after: str = setting(help="Hash of the document after.")
-    words: list[str] = setting(list, help="The change in words.")
-    allowed: list[str] = setting(list, help="Harms that were allowed by their word.")
-    note: str = setting("", help="Why, in the operator's words.")
-    previous: str = setting("", help="Chained hash of the audit row before.")
+    before: str = setting(help="Hash of the previous document.")
+    after: str = setting(help="Hash of the new document.")
+    words: list[str] = setting(list, help="Description of the changes.")
+    allowed: list[str] = setting(
+        list, help="Harmful effects that the operator allowed explicitly."
+    )
+    note: str = setting("", help="The operator's reason for the change.")
+    previous: str = setting("", help="Chained hash of the previous audit row.")
     chain: str = setting("", help="Hash of all fields above.")
 
     def compute_chain(self):
-        """Hash every field but the chain itself."""
+        """Return the hash of all fields except the chain itself."""
         plain = schema.dump(self)
         del plain["chain"]
         body = json.dumps(plain, sort_keys=True, separators=(",", ":"))
@@ -61,12 +65,12 @@
 
 
 def load_head(row):
-    """Build the head from its row; a missing row is version 0."""
+    """Return the head that a row holds; version 0 if the row is missing."""
     return schema.load(Head, row.value or {}).unwrap()
 
 
 def load_record(row):
-    """Build an audit record from its row; None when there is none."""
+    """Return the audit record that a row holds; None if the row is missing."""
     if row.value is None:
         return None
     return schema.load(AuditRecord, row.value).unwrap()
--- a/tests/unit/test_versions.py
+++ b/tests/unit/test_versions.py
@@ -1,4 +1,4 @@
-"""Check that versions only rise, that no change is lost and that gaps show."""
+"""Check that versions only rise, no change is lost, and missing rows are found."""
 
 import copy
 
@@ -33,7 +33,7 @@
 @settings(max_examples=100, deadline=None)
 @given(st.lists(st.integers(1, 8), max_size=30), st.data())
 def test_versions_never_fall_under_any_order_or_repetition(numbers, data):
-    """Frames of peers that lag, stale reads and repeats come in any order."""
+    """Frames of lagging peers, stale reads and repeats arrive in any order."""
     receiver, source = Configuration(), Configuration()
     in_force = []
     receiver.subscribe(lambda: in_force.append(receiver.version))
@@ -48,28 +48,30 @@
     assert receiver.version == max(numbers, default=0)
 
 
-def test_a_document_that_is_damaged_or_not_understood_changes_nothing():
+def test_a_damaged_or_invalid_document_is_ignored():
     configuration = Configuration()
     configuration.update_if_newer(*build_version(2))
     version, digest, body = build_version(3)
     assert not configuration.update_if_newer(version, digest, body + b" ")
-    odd = b'{"colour": 1}'
-    assert not configuration.update_if_newer(4, documents.document_hash(odd), odd)
+    invalid = b'{"colour": 1}'
+    assert not configuration.update_if_newer(
+        4, documents.document_hash(invalid), invalid
+    )
     assert configuration.version == 2
     assert configuration.update_if_newer(version, digest, body)
 
 
-def test_one_peer_is_asked_for_a_version_and_another_when_it_stays_silent():
-    pulls = PullThrottle()
-    assert pulls.should_pull(3, 2, 10.0)
-    assert not pulls.should_pull(3, 2, 10.1)
-    assert pulls.should_pull(4, 2, 10.1)
-    assert pulls.should_pull(4, 2, 10.1 + PULL_TIMEOUT_SECONDS)
-    assert not pulls.should_pull(2, 2, 20.0)
+def test_a_version_is_pulled_from_one_peer_and_later_from_another():
+    throttle = PullThrottle()
+    assert throttle.should_pull(3, 2, 10.0)
+    assert not throttle.should_pull(3, 2, 10.1)
+    assert throttle.should_pull(4, 2, 10.1)
+    assert throttle.should_pull(4, 2, 10.1 + PULL_TIMEOUT_SECONDS)
+    assert not throttle.should_pull(2, 2, 20.0)
 
 
-def test_a_race_shows_both_sides_and_changes_nothing():
-    async def story():
+def test_a_race_reports_both_sides_and_changes_nothing():
+    async def scenario():
         table = MemoryTable()
         applier = ChangeApplier(table)
         await applier.apply(build_proposal(0, 1, "first"))
@@ -78,20 +80,20 @@
             await applier.apply(build_proposal(1, 3, "mine"))
         return caught.value, (await read_head(table))[0]
 
-    error, head = run_paused(story())
+    error, head = run_paused(scenario())
     assert (error.head_version, head.version) == (2, 2)
     assert error.mine == ["organisation club: weight changed from 1.0 to 3.0"]
     assert error.theirs == ["organisation club: weight changed from 1.0 to 2.0"]
 
 
-def test_a_lost_answer_is_settled_by_reading_back():
-    """The console says "failed", the operator applies again, and the zone flips twice.
+def test_a_write_without_a_response_is_resolved_by_reading_back():
+    """The table applies the write, but its response is lost.
 
-    The table took the write and its answer got lost. The applier must find its own
-    audit row; and the same change asked for again must be recognised.
+    If the console reported a failure, the operator would apply the change again. The
+    applier must find its own audit row and recognise a repeated change.
     """
 
-    async def story():
+    async def scenario():
         table = MemoryTable()
         applier = ChangeApplier(table)
         table.lost_answers = 1
@@ -99,13 +101,13 @@
         again = await applier.apply(build_proposal(0, 1, "mine"))
         return first, again
 
-    first, again = run_paused(story())
+    first, again = run_paused(scenario())
     assert first == again
     assert first.version == 1
 
 
-def test_a_store_that_stays_down_leaves_the_change_unsettled_not_accepted():
-    async def story():
+def test_a_change_is_unsettled_while_the_store_is_down():
+    async def scenario():
         table = MemoryTable()
         applier = ChangeApplier(table)
         put_object = table.put_object
@@ -121,11 +123,11 @@
         table.put_object = put_object
         return await applier.apply(build_proposal(0, 1, "mine"))
 
-    assert run_paused(story()).version == 1
+    assert run_paused(scenario()).version == 1
 
 
-def test_a_change_with_faults_or_without_change_is_refused_with_findings():
-    async def story():
+def test_an_invalid_or_empty_change_is_refused_with_findings():
+    async def scenario():
         applier = ChangeApplier(MemoryTable())
         await applier.apply(build_proposal(0, 1))
         faulty = build_proposal(1, 2)
@@ -137,26 +139,26 @@
             ids.append([finding.id for finding in caught.value.findings])
         return ids
 
-    assert run_paused(story()) == [["document.E002"], ["change.E003"]]
+    assert run_paused(scenario()) == [["document.E002"], ["change.E003"]]
 
 
-def test_the_trail_shows_a_missing_and_a_changed_row():
-    async def story():
+def test_missing_and_changed_audit_rows_are_found():
+    async def scenario():
         table = MemoryTable()
         applier = ChangeApplier(table)
         for number in range(120):
             await applier.apply(build_proposal(number, number + 1, f"c{number}"))
         head, _ = await read_head(table)
-        trail = await read_audit_records(table, head.version, 1000)
-        assert [record.version for record in trail] == list(range(120, 0, -1))
-        assert verify_records(trail, head, whole=True) == []
+        records = await read_audit_records(table, head.version, 1000)
+        assert [record.version for record in records] == list(range(120, 0, -1))
+        assert verify_records(records, head, whole=True) == []
         del table.rows[audit_key(50)]
         value, version = table.rows[audit_key(110)]
         table.rows[audit_key(110)] = (value | {"who": "nobody"}, version)
-        trail = await read_audit_records(table, head.version, 1000)
-        return verify_records(trail, head, whole=True)
+        records = await read_audit_records(table, head.version, 1000)
+        return verify_records(records, head, whole=True)
 
-    findings = run_paused(story())
+    findings = run_paused(scenario())
     assert [(each.id, each.path) for each in findings] == [
         ("audit.E002", "version 110"),
         ("audit.E001", "version 50"),
