--- a/packages/fescuedrum-entry/src/fescuedrum_entry/connection/link.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/connection/link.py
@@ -209,10 +209,10 @@
             case members.Heartbeat():
                 self.last_heartbeat = body
                 self.entry.members.heard(self.peer, body)
-                self.entry.following.heard(self, body)
+                self.entry.configuration_follower.heard(self, body)
                 self.entry.router.heard(self)
             case members.Pull():
-                self.entry.following.answer(self, body)
+                self.entry.configuration_follower.answer(self, body)
             case members.DocumentBody():
                 self.entry.configuration.update_from_frame(body)
             case None:
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/connection/peer.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/connection/peer.py
@@ -54,9 +54,9 @@
         match body:
             case members.Heartbeat():
                 self.entry.members.heard(self.hello, body)
-                self.entry.following.heard(self.connection, body)
+                self.entry.configuration_follower.heard(self.connection, body)
             case members.Pull():
-                self.entry.following.answer(self.connection, body)
+                self.entry.configuration_follower.answer(self.connection, body)
             case members.DocumentBody():
                 self.entry.configuration.update_from_frame(body)
             case members.ZoneDigest():
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/operators/changes.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/operators/changes.py
@@ -20,7 +20,11 @@
 from fescuedrum.versions.audit import read_audit_records, read_head, verify_records
 from fescuedrum_entry.operators.access import ACCOUNT, require_role
 from fescuedrum_entry.operators.accounts import Role
-from fescuedrum_entry.request.errors import error_response, new_request_id, stopping
+from fescuedrum_entry.request.errors import (
+    error_response,
+    new_request_id,
+    stopping_error,
+)
 
 MAXIMUM_DOCUMENT_BYTES = 16 * 1024 * 1024
 DEFAULT_TRAIL_ROWS = 50
@@ -150,7 +154,7 @@
         plan = self.entry.stop_plan
         now = asyncio.get_running_loop().time()
         if plan is not None and not plan.accepts(now, now + CHANGE_SECONDS):
-            raise stopping()
+            raise stopping_error()
 
     async def accept(self, proposal):
         """Apply a change and put it in force here, from where it spreads.
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/process/entry.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/process/entry.py
@@ -42,9 +42,9 @@
 from fescuedrum_entry.process.router import Router
 from fescuedrum_entry.request import handler
 from fescuedrum_entry.request.quota import Quota
-from fescuedrum_entry.request.selection import WaitingRoom
-from fescuedrum_entry.request.trace import TraceBook
-from fescuedrum_entry.version.following import Following
+from fescuedrum_entry.request.selection import PendingCalls
+from fescuedrum_entry.request.trace import TraceBuffer
+from fescuedrum_entry.version.following import ConfigurationFollower
 
 logger = logging.getLogger(__name__)
 
@@ -58,15 +58,16 @@
         "callers_tls",
         "claims",
         "configuration",
+        "configuration_follower",
         "fairness",
         "faults",
-        "following",
         "incarnation",
         "link_tasks",
         "links",
         "members",
         "metrics",
         "peers",
+        "pending_calls",
         "platform",
         "quota",
         "random",
@@ -77,7 +78,6 @@
         "sign_in_limit",
         "stop_plan",
         "traces",
-        "waiting_room",
     )
 
     def __init__(self, settings, incarnation):
@@ -86,7 +86,7 @@
         self.incarnation = incarnation
         self.configuration = Configuration()
         self.configuration.subscribe(self.send_heartbeats)
-        self.following = None
+        self.configuration_follower = None
         self.members = Members(self)
         self.links = {}
         self.link_tasks = {}
@@ -98,7 +98,7 @@
         self.random = random.Random(incarnation)
         self.router = Router(self, settings.routing_policy, self.random)
         self.configuration.subscribe(self.router.refresh_all)
-        self.waiting_room = WaitingRoom(
+        self.pending_calls = PendingCalls(
             self, settings.endpoint_wait_limit, settings.endpoint_wait_seconds
         )
         self.claims = None
@@ -109,7 +109,7 @@
         self.configuration.subscribe(self.fairness.configuration_changed)
         self.quota = Quota(self)
         self.running = 0
-        self.traces = TraceBook(settings.trace_count, settings.trace_slow_seconds)
+        self.traces = TraceBuffer(settings.trace_count, settings.trace_slow_seconds)
         self.metrics = EntryMetrics()
         # Set once the process was told to stop.
         self.stop_plan = None
@@ -123,9 +123,13 @@
         async with aiohttp.ClientSession() as session:
             self.platform = PlatformClient(self.settings.platform_url, session)
             tasks = self.start_claims()
-            self.following = Following(self.configuration, self.platform)
+            self.configuration_follower = ConfigurationFollower(
+                self.configuration, self.platform
+            )
             tasks += [
-                asyncio.create_task(self.following.run(self.members.read_interval)),
+                asyncio.create_task(
+                    self.configuration_follower.run(self.members.read_interval)
+                ),
                 asyncio.create_task(self.members.run()),
                 asyncio.create_task(self.fairness.run()),
                 asyncio.create_task(self.callers_tls.follow()),
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/request/errors.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/request/errors.py
@@ -72,7 +72,7 @@
     return response
 
 
-def stopping():
+def stopping_error():
     """Return the refusal of what the end of this process might cut."""
     return ProcessStopping("This process stops.", retry_after=STOP_RETRY_SECONDS)
 
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/request/handler.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/request/handler.py
@@ -17,7 +17,11 @@
 from fescuedrum.serving import REQUEST_ID, log_taken_while_stopping
 from fescuedrum_entry.request.call import Repetition
 from fescuedrum_entry.request.dispatch import Dispatcher
-from fescuedrum_entry.request.errors import error_response, new_request_id, stopping
+from fescuedrum_entry.request.errors import (
+    error_response,
+    new_request_id,
+    stopping_error,
+)
 from fescuedrum_entry.request.parse import authenticate, check_head, parse_call
 from fescuedrum_entry.request.reply import Reply
 
@@ -95,7 +99,7 @@
         if plan is None:
             return
         if not plan.accepts(now, call.deadline):
-            raise stopping()
+            raise stopping_error()
         plan.record_accepted(now)
         # Before the notice is over all are taken, by the hundred each second.
         if plan.is_noticed(now):
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/request/idempotent.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/request/idempotent.py
@@ -12,7 +12,7 @@
 from fescuedrum.outcomes import Outcome
 from fescuedrum.wire.gen.frames import ttypes as frames
 from fescuedrum_entry.connection.link import Lost
-from fescuedrum_entry.request.passage import Differs, Passage
+from fescuedrum_entry.request.passage import AnswerMismatch, AnswerRelay
 from fescuedrum_entry.request.requests import build_request
 
 MAXIMUM_REPEATS = 3
@@ -66,7 +66,7 @@
         self.call = call
         self.reply = reply
         self.selection = selection
-        self.passage = Passage(reply)
+        self.passage = AnswerRelay(reply)
         self.retries = entry.retries_of(call.service)
         self.attempt = 0
         self.repeats = 0
@@ -81,7 +81,7 @@
                 await self.try_until_done()
         except TimeoutError as error:
             raise AnswerTooLate("The deadline passed.") from error
-        except Differs as error:
+        except AnswerMismatch as error:
             detail = "The answer broke off, and a repeat gave another one."
             raise OutcomeUnknown(detail) from error
         except FescuedrumError as error:
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/request/parse.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/request/parse.py
@@ -18,7 +18,7 @@
 from fescuedrum.serving import StopDeadlinePassed
 from fescuedrum_entry.request.call import Call, Repetition
 from fescuedrum_entry.request.completion import Completion, parse_completion
-from fescuedrum_entry.request.errors import stopping
+from fescuedrum_entry.request.errors import stopping_error
 
 KEY_HEADER = "Idempotency-Key"
 DEADLINE_HEADER = "Fescuedrum-Deadline-Ms"
@@ -157,7 +157,7 @@
         async with http_request.protocol.server.body_timeout(settings.body_seconds):
             return await read_within(http_request.content, maximum)
     except StopDeadlinePassed as error:
-        raise stopping() from error
+        raise stopping_error() from error
     except TimeoutError as error:
         raise BodyTooSlow(
             f"The body took over {settings.body_seconds} seconds."
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/request/passage.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/request/passage.py
@@ -5,11 +5,11 @@
 from fescuedrum.outcomes import Outcome
 
 
-class Differs(Exception):  # noqa: N818 - a finding, not a fault
+class AnswerMismatch(Exception):  # noqa: N818 - a finding, not a fault
     """Report that a repeat's answer is not the one the caller has begun to read."""
 
 
-class Passage:
+class AnswerRelay:
     """Carry answers of successive attempts into one reply.
 
     What the caller has not seen is simply replaced. Once the caller has seen bytes, a
@@ -38,7 +38,7 @@
             await self.reply.start(status, headers)
             return
         if status != self.reply.status:
-            raise Differs
+            raise AnswerMismatch
         self.prefix = hashlib.sha256()
 
     async def write(self, data):
@@ -56,10 +56,10 @@
             return data
         self.prefix.update(data[:known])
         if len(data) >= known and self.prefix.digest() != self.digest.digest():
-            raise Differs
+            raise AnswerMismatch
         return data[known:]
 
     async def finish(self, outcome):
         if self.length < self.passed:
-            raise Differs
+            raise AnswerMismatch
         await self.reply.finish(Outcome(outcome))
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/request/selection.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/request/selection.py
@@ -37,7 +37,7 @@
         """
         link = self.choose()
         if link is None:
-            link = await self.entry.waiting_room.wait(self)
+            link = await self.entry.pending_calls.wait(self)
         return link
 
     def choose(self):
@@ -78,7 +78,7 @@
             raise Overloaded(detail, retry_after=math.ceil(self.retry_after))
 
 
-class WaitingRoom:
+class PendingCalls:
     """Hold the calls of one entry for which no endpoint may get work just now.
 
     Without a bound, an outage of a service would fill the entry with calls of that
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/request/trace.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/request/trace.py
@@ -107,7 +107,7 @@
             self.end(now, error.outcome.value, error.code, str(error))
 
 
-class TraceBook:
+class TraceBuffer:
     """Hold the traces of running requests and of recent ones, within bounds."""
 
     __slots__ = ("notable", "plain", "running", "size", "slow_seconds")
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/version/following.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/version/following.py
@@ -14,7 +14,7 @@
 logger = logging.getLogger(__name__)
 
 
-class Following:
+class ConfigurationFollower:
     """Bring newer versions into an entry's configuration from all sides."""
 
     __slots__ = ("configuration", "loop", "platform", "pulls", "reads")
--- a/tests/unit/test_retries.py
+++ b/tests/unit/test_retries.py
@@ -6,7 +6,7 @@
 
 from fescuedrum.decisions.retries import HedgeDelay, RetryBudget
 from fescuedrum.outcomes import Outcome
-from fescuedrum_entry.request.passage import Differs, Passage
+from fescuedrum_entry.request.passage import AnswerMismatch, AnswerRelay
 
 
 def test_retries_in_a_total_outage_stay_within_the_budget():
@@ -57,7 +57,7 @@
 
 
 async def pass_two(reply, first, second):
-    passage = Passage(reply)
+    passage = AnswerRelay(reply)
     reply.started, started = False, reply.started
     await passage.start(200, [])
     await passage.write(first)
@@ -82,7 +82,7 @@
     The engine fails during the stream, the retry samples a different text, and the
     entry sends the remainder of it after the first half.
     """
-    with pytest.raises(Differs):
+    with pytest.raises(AnswerMismatch):
         asyncio.run(pass_two(Reply(True), b"tension 24", second))
 
 
--- a/tests/unit/test_trace.py
+++ b/tests/unit/test_trace.py
@@ -12,7 +12,7 @@
 from fescuedrum_entry.connection.link import Link
 from fescuedrum_entry.operators.accounts import Account, Role
 from fescuedrum_entry.operators.requests import describe
-from fescuedrum_entry.request.trace import Step, TraceBook
+from fescuedrum_entry.request.trace import Step, TraceBuffer
 
 OPERATOR = "Authorization: Bearer ada.secret"
 PATH = "/services/bookings/x"
@@ -112,7 +112,7 @@
 
     The entry has answered thousands of others since then.
     """
-    book = TraceBook(10, slow_seconds=5.0)
+    book = TraceBuffer(10, slow_seconds=5.0)
     fill(book, 1, OutcomeUnknown())
     (wrong,) = book.recent(10)
     fill(book, 1000)
@@ -124,7 +124,7 @@
 
 
 def test_a_request_that_is_tried_without_end_keeps_a_bounded_trace():
-    trace = TraceBook(10, 5.0).begin("r", 0.0)
+    trace = TraceBuffer(10, 5.0).begin("r", 0.0)
     for _ in range(10_000):
         trace.note(Step.SENT, 1.0)
     assert trace.attempts == 10_000
