--- a/packages/fescuedrum-entry/src/fescuedrum_entry/connection/__init__.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/connection/__init__.py
@@ -1,1 +1,1 @@
-"""Hold what lives as long as one connection."""
+"""Manage the entry's connections to callers, agents and other entries."""
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/connection/attempt.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/connection/attempt.py
@@ -1,4 +1,4 @@
-"""Note what becomes of one attempt: in its request's trace and in the metrics."""
+"""Record the course of one attempt in its request's trace and in the metrics."""
 
 from fescuedrum.wire.gen.frames import ttypes as frames
 from fescuedrum_entry.request.trace import Step
@@ -6,12 +6,12 @@
 RESULT_ENDED = "ended"
 RESULT_REFUSED = "refused"
 RESULT_LOST = "lost"
-RESULT_LEFT = "left"
+RESULT_ABANDONED = "left"
 MILLISECONDS = 1000
 
 
 class AttemptTrace:
-    """Follow one attempt from its sending to its end."""
+    """Record one attempt of a request from sending it until its exchange closes."""
 
     __slots__ = ("agent", "loop", "metrics", "result", "sent_at", "trace", "zone")
 
@@ -21,41 +21,42 @@
         self.metrics = link.entry.metrics
         self.trace = trace
         self.zone = link.instance.zone
-        # Seconds from the request's head to the sending of this attempt.
+        # Seconds between receiving the request's head and sending this attempt.
         self.sent_at = self.loop.time() - trace.began if trace else 0.0
         self.result = None
 
     @classmethod
     def begin(cls, link, request):
-        """Note that a request is sent, with what spoke for this endpoint."""
+        """Record that a request is sent, with the endpoint's state at that time."""
         attempt = cls(link, link.entry.traces.running.get(request.request_id))
-        attempt.note(
+        attempt.add_step(
             Step.SENT,
             attempt=request.attempt,
             attach_only=bool(request.attach_only),
-            **reasons(link),
+            **describe_endpoint(link),
         )
         return attempt
 
-    def note(self, step, **details):
+    def add_step(self, step, **details):
+        """Add a step of this attempt to the request's trace, if it has one."""
         if self.trace is not None:
             now = self.loop.time()
-            self.trace.note(step, now, agent=self.agent, **details)
+            self.trace.add_step(step, now, agent=self.agent, **details)
 
-    def received(self, body):
-        """Note a frame that came for this attempt."""
+    def record_frame(self, body):
+        """Record a frame received for this attempt."""
         match body:
             case frames.Chunk():
                 return
             case frames.ResponseHead():
-                self.take_head(body)
+                self.record_head(body)
             case frames.Refusal():
                 self.result = RESULT_REFUSED
                 self.metrics.refused(body.reason)
-                self.note(Step.REFUSED, reason=body.reason)
+                self.add_step(Step.REFUSED, reason=body.reason)
             case frames.End():
                 self.result = RESULT_ENDED
-                self.note(
+                self.add_step(
                     Step.ENDED,
                     outcome=body.outcome,
                     bytes=body.length,
@@ -63,28 +64,32 @@
                 )
             case _:
                 self.result = RESULT_LOST
-                self.note(Step.LOST)
+                self.add_step(Step.LOST)
 
-    def take_head(self, head):
+    def record_head(self, head):
+        """Record the head of the answer, its queueing time and its endpoint."""
         waited_ms = head.waited_ms or 0
         cold = bool(head.cold)
-        self.note(Step.HEAD, status=head.status, waited_ms=waited_ms, cold=cold)
+        self.add_step(Step.HEAD, status=head.status, waited_ms=waited_ms, cold=cold)
         if self.trace is not None:
             self.trace.waited = self.sent_at + waited_ms / 1000
             self.trace.cold = cold
             self.trace.zone = self.zone
             self.trace.endpoint = self.agent
 
-    def closed(self):
-        """Note the end of the attempt; one without a result was given up here."""
+    def record_close(self):
+        """Count the attempt by its result.
+
+        An attempt without a result was abandoned by this entry.
+        """
         if self.result is None:
-            self.result = RESULT_LEFT
-            self.note(Step.LEFT)
+            self.result = RESULT_ABANDONED
+            self.add_step(Step.LEFT)
         self.metrics.attempt_ended(self.result)
 
 
-def reasons(link):
-    """Return what this entry knew of an endpoint when it chose it."""
+def describe_endpoint(link):
+    """Return the zone and the last reported load of a link's endpoint."""
     same_zone = link.instance.zone == link.entry.settings.zone
     found = {
         "zone": link.instance.zone,
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/connection/callers.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/connection/callers.py
@@ -1,4 +1,4 @@
-"""Serve callers' connections with bounds on their heads and their idle time."""
+"""Serve callers' connections within limits on header size and idle time."""
 
 import logging
 
@@ -16,29 +16,36 @@
 
 BAD_REQUEST_STATUS = 400
 HEADERS_TOO_LARGE_STATUS = 431
-# At the end of a stop's time, for what is about to end; then, as long again, for what
-# is cancelled. The library's own 60 s would make the process outlast its time.
+# Applied twice at the end of a shutdown: first to let requests finish, then to wait for
+# the cancelled ones. With aiohttp's default of 60 s the process would exceed the time
+# that it has for stopping.
 SHUTDOWN_SECONDS = 0.2
 
 
 class CallerConnection(TrackedConnection):
-    """Answer malformed HTTP in the common shape."""
+    """Serve one caller's connection and answer malformed HTTP with a JSON error."""
 
     __slots__ = ()
 
     def handle_error(self, request, status=500, exc=None, message=None):
-        """Answer what the HTTP parser refused; its traceback would help nobody."""
+        """Return the response to a request that the HTTP parser rejected.
+
+        A malformed request is logged without a traceback: the caller is at fault, and
+        the traceback would only show the parser.
+        """
         if status != BAD_REQUEST_STATUS:
             return super().handle_error(request, status, exc, message)
         too_large = isinstance(exc, LineTooLong) or "Too many" in (message or "")
-        error = errors.from_status(HEADERS_TOO_LARGE_STATUS if too_large else status)
+        error = errors.error_from_status(
+            HEADERS_TOO_LARGE_STATUS if too_large else status
+        )
         error.closes_connection = True
         log_event(logger, MalformedHttp(request.remote, str(error)))
         return errors.error_response(error, errors.new_request_id())
 
 
 class CallersRunner(web.AppRunner):
-    """Run the entry's application with the settings' limits on callers."""
+    """Run the entry's HTTP application with the limits from its settings."""
 
     __slots__ = ()
 
@@ -57,21 +64,21 @@
         )
 
     async def _make_server(self):
-        made = await super()._make_server()
-        serve = made.request_handler
+        server = await super()._make_server()
+        serve = server.request_handler
 
         async def handle(request):
-            # The library's own answer to such a value ends in UnicodeEncodeError,
-            # which a caller would see as status 500.
+            # aiohttp repeats the value in its answer to an unknown expectation, which
+            # raises UnicodeEncodeError here; the caller would see status 500.
             if not is_valid_utf8(request.headers.get("Expect", "")):
                 return errors.error_response(BadRequest(), errors.new_request_id())
-            # Not a middleware: the library builds its chain for each request.
+            # Not a middleware, because aiohttp builds their chain for each request.
             return await errors.shape_errors(request, serve)
 
         return TrackingServer(
             handle,
             CallerConnection,
-            request_factory=made.request_factory,
-            handler_cancellation=made.handler_cancellation,
-            **made._kwargs,
+            request_factory=server.request_factory,
+            handler_cancellation=server.handler_cancellation,
+            **server._kwargs,
         )
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/connection/link.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/connection/link.py
@@ -1,4 +1,4 @@
-"""Keep one connection to one agent and multiplex requests over it."""
+"""Maintain one connection to an agent and multiplex requests over it."""
 
 import asyncio
 import logging
@@ -18,21 +18,22 @@
 
 CONNECT_TIMEOUT_SECONDS = 2.0
 WINDOW_BYTES = 256 * 1024
-# A frame of credit for every token would cost as much as the token itself; a quarter
-# of the window keeps the agent sending while the credit is on its way.
+# Credit is granted once a quarter of the window has been read. A credit frame for each
+# token would cost as much as the token; the rest of the window lets the agent go on
+# sending while the credit is in transit.
 CREDIT_BYTES = WINDOW_BYTES // 4
 
 
 @dataclass(slots=True, frozen=True)
 class Lost:
-    """Tell an exchange that its connection ended; the request may have run."""
+    """Mark the end of an exchange's connection; the request may have run."""
 
 
 LOST = Lost()
 
 
 class Exchange:
-    """Hold one request on one connection and the frames that come for it."""
+    """Hold one request on one connection and the frames received for it."""
 
     __slots__ = (
         "attempt",
@@ -42,7 +43,7 @@
         "number",
         "organisation",
         "trace",
-        "untold",
+        "uncredited_bytes",
     )
 
     def __init__(
@@ -51,46 +52,49 @@
         self.link = link
         self.number = number
         self.attempt = attempt
-        # On which the router counts this request as unanswered.
+        # The routing candidate that counts this request as unanswered.
         self.candidate = candidate
         self.organisation = organisation
         self.events = asyncio.Queue()
         self.trace = trace
-        self.untold = 0
+        self.uncredited_bytes = 0
 
     async def receive(self):
-        """Wait for the next frame of this request, or Lost."""
+        """Return the next frame of this request, or Lost when the connection ended."""
         body = await self.events.get()
         if self.trace is not None:
-            self.trace.received(body)
+            self.trace.record_frame(body)
         return body
 
-    def taken(self, size):
-        """Give the agent credit for bytes that the caller has taken."""
-        self.untold += size
-        if self.untold >= CREDIT_BYTES:
-            self.link.send(credit=frames.Credit(self.number, self.attempt, self.untold))
-            self.untold = 0
+    def grant_credit(self, size):
+        """Count bytes passed to the caller and grant credit for them in batches."""
+        self.uncredited_bytes += size
+        if self.uncredited_bytes >= CREDIT_BYTES:
+            self.link.send(
+                credit=frames.Credit(self.number, self.attempt, self.uncredited_bytes)
+            )
+            self.uncredited_bytes = 0
 
     def close(self, *, finished):
+        """Release the exchange; cancel the request at the agent unless it finished."""
         self.link.entry.router.ended(self.link, self.candidate, self.organisation)
         self.link.exchanges.pop(self.number, None)
         if self.trace is not None:
-            self.trace.closed()
+            self.trace.record_close()
         if not finished:
             self.link.send(cancel=frames.Cancel(self.number, self.attempt))
 
 
 class Link:
-    """Own the connection to one agent and open a new one when it ends."""
+    """Maintain the connection to one agent and reconnect when it ends."""
 
     __slots__ = (
         "connection",
         "entry",
         "exchanges",
-        "heard_at",
         "instance",
         "last_heartbeat",
+        "last_received_at",
         "loop",
         "next_number",
         "peer",
@@ -103,7 +107,7 @@
         self.connection = None
         self.exchanges = {}
         self.last_heartbeat = None
-        self.heard_at = 0.0
+        self.last_received_at = 0.0
         self.next_number = 1
         self.peer = None
         self.unexpected_frames = 0
@@ -111,16 +115,16 @@
 
     @property
     def usable(self):
-        """Tell whether new work may go to this agent."""
+        """Return whether new requests may be sent to this agent."""
         beat = self.last_heartbeat
         if self.connection is None or beat is None or beat.leaving:
             return False
         if self.instance.name in self.entry.members.damped:
             return False
-        # An agent that takes what is sent too slowly gets no more until it caught up.
+        # An agent that reads too slowly gets no new requests until it has caught up.
         return not self.connection.congested
 
-    def open(self, request):
+    def send_request(self, request):
         """Send a request and return its exchange."""
         request.number = self.next_number
         self.next_number += 1
@@ -135,8 +139,8 @@
         self.send(request=request)
         return exchange
 
-    def ask(self, fence):
-        """Send a question about a key and return its exchange."""
+    def send_fence(self, fence):
+        """Send a fence for a key to the agent and return its exchange."""
         fence.number = self.next_number
         self.next_number += 1
         fence.attempt = 1
@@ -147,15 +151,16 @@
 
     @property
     def incarnation(self):
-        """Return the life that the agent at the other end is in, or None."""
+        """Return the incarnation of the connected agent, or None without one."""
         return self.peer.incarnation if self.connection is not None else None
 
     def send(self, **body):
+        """Send a frame to the agent, or drop it when there is no connection."""
         if self.connection is not None:
             self.connection.send(**body)
 
     async def run(self):
-        """Connect, serve the connection to its end, and start again."""
+        """Connect to the agent, serve the connection until it ends, and reconnect."""
         backoff = Backoff(self.entry.random)
         while True:
             try:
@@ -163,10 +168,11 @@
             except (OSError, TimeoutError, ProtocolError) as error:
                 log_event(logger, ConnectionEnded(self.instance.name, str(error)))
             finally:
-                self.lose()
+                self.handle_disconnect()
             await asyncio.sleep(backoff.next_wait())
 
     async def serve(self, backoff):
+        """Open a connection and handle its frames until it ends."""
         async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
             reader, writer = await self.entry.peers.connect(
                 self.instance.host, self.instance.port
@@ -179,40 +185,42 @@
             writer.transport.abort()
             raise
         backoff.succeeded()
-        watch = asyncio.create_task(self.watch(connection))
+        monitor = asyncio.create_task(self.monitor(connection))
         try:
-            self.heard_at = self.loop.time()
+            self.last_received_at = self.loop.time()
             while (frame := await connection.receive()) is not None:
-                self.heard_at = self.loop.time()
+                self.last_received_at = self.loop.time()
                 self.connection = connection
-                self.handle(codec.get_body(frame))
+                self.handle_body(codec.get_body(frame))
         finally:
-            watch.cancel()
+            monitor.cancel()
             connection.close()
 
-    async def watch(self, connection):
-        """Send heartbeats; close a connection that has gone silent.
+    async def monitor(self, connection):
+        """Send heartbeats and abort the connection when the agent goes silent.
 
-        A middlebox that forgets a connection drops its packets without a reset, so
-        neither side sees an error; only missing heartbeats show it.
+        A middlebox that has dropped a connection from its table discards the packets
+        without a reset, so neither side sees an error and only missing heartbeats
+        reveal it.
         """
-        members = self.entry.members
-        while self.loop.time() - self.heard_at < members.allowed_silence():
+        membership = self.entry.members
+        while self.loop.time() - self.last_received_at < membership.allowed_silence():
             connection.send(heartbeat=self.entry.heartbeat())
-            await asyncio.sleep(members.interval())
+            await asyncio.sleep(membership.interval())
         log_event(logger, ConnectionSilent(self.instance.name))
-        # A plain close would wait for the peer to take what is still buffered.
+        # close() would wait for the peer to read what is still buffered.
         connection.writer.transport.abort()
 
-    def handle(self, body):
+    def handle_body(self, body):
+        """Handle the body of a frame received from the agent."""
         match body:
             case members.Heartbeat():
                 self.last_heartbeat = body
                 self.entry.members.heard(self.peer, body)
-                self.entry.configuration_follower.heard(self, body)
+                self.entry.configuration_follower.handle_heartbeat(self, body)
                 self.entry.router.heard(self)
             case members.Pull():
-                self.entry.configuration_follower.answer(self, body)
+                self.entry.configuration_follower.answer_pull(self, body)
             case members.DocumentBody():
                 self.entry.configuration.update_from_frame(body)
             case None:
@@ -221,6 +229,7 @@
                 self.deliver(body)
 
     def deliver(self, body):
+        """Put a frame into the queue of the exchange that it belongs to."""
         exchange = self.exchanges.get(body.number)
         # A late frame of an earlier attempt must not reach another request's caller.
         if exchange is None or exchange.attempt != body.attempt:
@@ -230,7 +239,8 @@
             self.entry.router.delivered(self, body)
         exchange.events.put_nowait(body)
 
-    def lose(self):
+    def handle_disconnect(self):
+        """Clear the connection's state and end its exchanges with LOST."""
         if self.connection is not None:
             self.entry.members.lost(self.instance.name)
         self.connection = None
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/connection/peer.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/connection/peer.py
@@ -1,4 +1,4 @@
-"""Keep one connection between two entries."""
+"""Maintain one connection between two entries."""
 
 import asyncio
 import logging
@@ -18,45 +18,48 @@
 
 
 class Channel:
-    """Own one open connection to another entry, whichever side dialled."""
+    """Serve an open connection to another entry, whichever side opened it."""
 
-    __slots__ = ("connection", "entry", "heard_at", "hello", "loop")
+    __slots__ = ("connection", "entry", "hello", "last_received_at", "loop")
 
     def __init__(self, entry, connection, hello):
         self.entry = entry
         self.connection = connection
         self.hello = hello
         self.loop = asyncio.get_running_loop()
-        self.heard_at = self.loop.time()
+        self.last_received_at = self.loop.time()
 
     async def run(self):
-        """Serve the connection to its end."""
-        watch = asyncio.create_task(self.watch())
+        """Handle the connection's frames until it ends."""
+        monitor = asyncio.create_task(self.monitor())
         self.entry.members.opened(self)
         try:
             while (frame := await self.connection.receive()) is not None:
-                self.heard_at = self.loop.time()
-                self.handle(codec.get_body(frame))
+                self.last_received_at = self.loop.time()
+                self.handle_body(codec.get_body(frame))
         finally:
-            watch.cancel()
+            monitor.cancel()
             self.entry.members.closed(self)
             self.connection.close()
 
-    async def watch(self):
-        """Send heartbeats; close a connection that has gone silent without a reset."""
-        group = self.entry.members
-        while self.loop.time() - self.heard_at < group.allowed_silence():
+    async def monitor(self):
+        """Send heartbeats and abort the connection when the other entry goes silent."""
+        membership = self.entry.members
+        while self.loop.time() - self.last_received_at < membership.allowed_silence():
             self.connection.send(heartbeat=self.entry.heartbeat())
-            await asyncio.sleep(group.interval())
+            await asyncio.sleep(membership.interval())
         self.connection.writer.transport.abort()
 
-    def handle(self, body):
+    def handle_body(self, body):
+        """Handle the body of a frame received from the other entry."""
         match body:
             case members.Heartbeat():
                 self.entry.members.heard(self.hello, body)
-                self.entry.configuration_follower.heard(self.connection, body)
+                self.entry.configuration_follower.handle_heartbeat(
+                    self.connection, body
+                )
             case members.Pull():
-                self.entry.configuration_follower.answer(self.connection, body)
+                self.entry.configuration_follower.answer_pull(self.connection, body)
             case members.DocumentBody():
                 self.entry.configuration.update_from_frame(body)
             case members.ZoneDigest():
@@ -68,7 +71,7 @@
 
 
 class Peer:
-    """Keep a connection to one entry that this one dials."""
+    """Maintain the connection that this entry opens to another one."""
 
     __slots__ = ("entry", "host", "name", "port", "zone")
 
@@ -80,7 +83,7 @@
         self.port = port
 
     async def run(self):
-        """Connect, serve the connection to its end, and start again."""
+        """Connect to the entry, serve the connection until it ends, and reconnect."""
         backoff = Backoff(self.entry.random)
         while True:
             try:
@@ -92,6 +95,7 @@
             await asyncio.sleep(backoff.next_wait())
 
     async def connect(self):
+        """Open a connection, complete the handshake and return the Channel."""
         peers = self.entry.peers
         async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
             reader, writer = await peers.connect(self.host, self.port)
@@ -107,7 +111,7 @@
 
 
 async def serve_peer(entry, reader, writer):
-    """Serve a connection that another entry dialled."""
+    """Serve a connection that another entry has opened to this one."""
     connection = FrameConnection(reader, writer)
     try:
         hello = await connection.handshake(entry.peers.accept_handshake())
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/request/__init__.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/request/__init__.py
@@ -1,1 +1,1 @@
-"""Hold what lives as long as one request."""
+"""Parse, route, run and trace a single caller's request."""
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/request/call.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/request/call.py
@@ -1,22 +1,22 @@
-"""Describe one caller's request."""
+"""Hold one caller's parsed request."""
 
 import enum
 from dataclasses import dataclass
 
 
 class Repetition(enum.Enum):
-    """Say how often a request may run."""
+    """Define how often a request may run."""
 
     IDEMPOTENT = "idempotent"
-    # Runs at most once; a repeat under its key gets the recorded answer.
+    # Runs at most once; a repeat with the same key gets the recorded answer.
     KEYED = "keyed"
-    # Runs at most once and is sent once; a repeat is another request.
+    # Has no key and runs at most once; a repeat is a separate request.
     ONCE = "once"
 
 
 @dataclass(slots=True)
 class Call:
-    """Hold a request that has passed the checks at the entry's door."""
+    """Hold a request that the entry has authenticated and validated."""
 
     request_id: str
     organisation: str
@@ -27,12 +27,12 @@
     body: bytes
     repetition: Repetition
     key: str
-    # Loop time, in seconds.
+    # Event loop time, in seconds.
     deadline: float
     priority: int
     cost: float
-    # Model, for engines; an endpoint that has it loaded is preferred.
+    # Model name for engines; endpoints that have it loaded are preferred.
     model: str = ""
-    # Start of the prompt; requests that share it run faster at one endpoint.
+    # Start of the prompt; requests that share it run faster at the same endpoint.
     prefix: str = ""
     streamed: bool = False
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/request/collector.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/request/collector.py
@@ -1,4 +1,4 @@
-"""Pass an answer on to the caller and keep a small one for the key's row."""
+"""Pass an answer to the caller and keep a copy of a small one for the key's row."""
 
 import logging
 
@@ -10,50 +10,54 @@
 
 logger = logging.getLogger(__name__)
 
-# A row holds so much at most; of a longer answer only the agent has the bytes.
+# Limit of an answer in a key's row; only the agent keeps the bytes of a longer one.
 MAXIMUM_RECORDED_BYTES = 16 * 1024
 
 
 class Collector:
-    """Give one execution's answer to one caller, over as many connections as it takes.
+    """Pass one execution's answer to one caller, over one or more connections.
 
     All connections read the same buffer at the agent, so a part that is read over a
-    new connection continues what came before. A caller who leaves ends the passing
-    on and not the collecting: the answer is still recorded.
+    new connection continues the previous one. After the caller has left, nothing more
+    is passed on, but the answer is still collected so that it can be recorded.
     """
 
-    __slots__ = ("caller_left", "head", "kept", "length", "reply")
+    __slots__ = ("caller_left", "head", "length", "recordable_body", "reply")
 
     def __init__(self, reply):
         self.reply = reply
         self.head = None
         self.length = 0
-        self.kept = bytearray()
+        self.recordable_body = bytearray()
         self.caller_left = False
 
     async def start(self, head):
+        """Pass on the answer's head, unless an earlier connection brought it."""
         if self.head is not None:
             return
         self.head = head
-        await self.pass_on(self.reply.start(head.status, head.headers or []))
+        await self.relay(self.reply.start(head.status, head.headers or []))
 
     async def write(self, data):
+        """Pass on bytes of the body and keep a copy while the answer is small."""
         self.length += len(data)
         if self.length <= MAXIMUM_RECORDED_BYTES:
-            self.kept += data
-        await self.pass_on(self.reply.write(data))
+            self.recordable_body += data
+        await self.relay(self.reply.write(data))
 
     async def finish(self, outcome):
-        await self.pass_on(self.reply.finish(Outcome(outcome)))
+        """Pass on the end of the answer and its outcome."""
+        await self.relay(self.reply.finish(Outcome(outcome)))
 
     async def replay(self, answer):
-        """Give a recorded answer, or the rest of it."""
+        """Pass on a recorded answer, from the first byte that the caller lacks."""
         headers = [frames.Header(name, value) for name, value in answer.headers]
         await self.start(frames.ResponseHead(status=answer.status, headers=headers))
         await self.write(answer.body[self.length :])
         await self.finish(answer.outcome)
 
-    async def pass_on(self, step):
+    async def relay(self, step):
+        """Await a call of the reply, or discard it once the caller has left."""
         if self.caller_left:
             step.close()
             return
@@ -63,10 +67,12 @@
             self.caller_left = True
             log_event(logger, CallerLeftKeyed())
 
-    def recorded(self, outcome):
-        """Return the answer for the key's row, or None when it is too large."""
+    def build_recorded_answer(self, outcome):
+        """Return the answer for the key's row, or None if missing or too large."""
         if self.head is None or self.length > MAXIMUM_RECORDED_BYTES:
             return None
         headers = tuple((each.name, each.value) for each in self.head.headers or [])
         outcome = Outcome(outcome)
-        return RecordedAnswer(outcome, self.head.status, headers, bytes(self.kept))
+        return RecordedAnswer(
+            outcome, self.head.status, headers, bytes(self.recordable_body)
+        )
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/request/dispatch.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/request/dispatch.py
@@ -1,4 +1,4 @@
-"""Choose how a call is carried out: by how often it may run."""
+"""Choose between idempotent and at-most-once execution of a call."""
 
 from fescuedrum_entry.request.call import Repetition
 from fescuedrum_entry.request.idempotent import IdempotentRun
@@ -7,12 +7,12 @@
 
 
 class Dispatcher:
-    """Carry one call to its outcome."""
+    """Run one call in the way that its repetition allows."""
 
     __slots__ = ("run",)
 
     def __init__(self, entry, call, reply):
         idempotent = call.repetition is Repetition.IDEMPOTENT
         kind = IdempotentRun if idempotent else KeyedRun
-        # Fills the reply with a whole answer or raises a FescuedrumError.
+        # Writes the whole answer into the reply or raises a FescuedrumError.
         self.run = kind(entry, call, reply, Selection(entry, call)).run
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/request/handler.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/request/handler.py
@@ -1,4 +1,4 @@
-"""Answer callers over HTTP."""
+"""Serve the callers' HTTP interface."""
 
 import asyncio
 import logging
@@ -25,13 +25,13 @@
 from fescuedrum_entry.request.parse import authenticate, check_head, parse_call
 from fescuedrum_entry.request.reply import Reply
 
-CODE_LEFT = "caller-left"
+CODE_CALLER_LEFT = "caller-left"
 
 logger = logging.getLogger(__name__)
 
 
 def add_routes(application, entry):
-    """Add the callers' interface to the entry's application."""
+    """Add the callers' routes to the entry's application."""
     handler = CallerHandler(entry)
     router = application.router
     router.add_post("/v1/chat/completions", handler.handle)
@@ -42,7 +42,7 @@
 
 
 class CallerHandler:
-    """Serve the callers' routes of one entry."""
+    """Handle the requests to one entry's callers' routes."""
 
     __slots__ = ("entry",)
 
@@ -50,50 +50,52 @@
         self.entry = entry
 
     async def handle(self, http_request):
-        """Serve one request to its outcome."""
+        """Return the response to one request and trace the request."""
         loop = asyncio.get_running_loop()
         request_id = new_request_id()
         http_request[REQUEST_ID] = request_id
         request_context.set({"request": request_id})
         trace = self.entry.traces.begin(request_id, loop.time())
         try:
-            return await self.answer(http_request, trace)
+            return await self.parse_and_serve(http_request, trace)
         finally:
             if not trace.detached:
-                self.close_trace(trace)
+                self.finish_trace(trace)
 
-    def close_trace(self, trace):
+    def finish_trace(self, trace):
+        """Close a request's trace and count the request by it."""
         if trace.seconds is None:
-            # Its caller left before it came to an end.
-            trace.end(loop_time(), Outcome.UNKNOWN, CODE_LEFT)
+            # The caller left before the request had ended.
+            trace.end(loop_time(), Outcome.UNKNOWN, CODE_CALLER_LEFT)
         self.entry.traces.finish(trace)
         self.entry.metrics.ended(trace)
         self.entry.fairness.ended(trace)
 
-    async def answer(self, http_request, trace):
+    async def parse_and_serve(self, http_request, trace):
+        """Return the response to a request, or to the error that it ended with."""
         entry = self.entry
         loop = asyncio.get_running_loop()
         try:
             call = await parse_call(
                 http_request,
-                self.configuration(),
+                self.active_configuration(),
                 entry.settings,
                 trace.began,
                 trace.request_id,
             )
-            trace.take_call(call, entry.configuration.version, loop.time())
-            self.check_stop(http_request, call)
+            trace.record_call(call, entry.configuration.version, loop.time())
+            self.check_stopping(http_request, call)
             return await self.serve(http_request, call, trace)
         except FescuedrumError as error:
             trace.fail(loop.time(), error)
             return error_response(error, trace.request_id)
 
-    def check_stop(self, http_request, call):
-        """Refuse a request that may outlast this process, once that stops.
+    def check_stopping(self, http_request, call):
+        """Raise ProcessStopping for a call that may outlast a stopping process.
 
-        The failure: a call comes late in a stop, on a kept connection or while all of
-        a zone stop, and ends as unknown when the process does. A call that is taken
-        ends by its deadline, and that is before.
+        A call that arrives late in a stop, over a kept-alive connection or while all
+        entries of a zone are stopping, would end with an unknown outcome when the
+        process exits. The deadline of an accepted call lies before that.
         """
         plan, now = self.entry.stop_plan, loop_time()
         if plan is None:
@@ -101,21 +103,22 @@
         if not plan.accepts(now, call.deadline):
             raise stopping_error()
         plan.record_accepted(now)
-        # Before the notice is over all are taken, by the hundred each second.
+        # During the notice every call is accepted, hundreds per second: none is logged.
         if plan.is_noticed(now):
             log_taken_while_stopping(
                 plan, call.request_id, call.deadline, http_request.protocol
             )
 
-    def configuration(self):
+    def active_configuration(self):
+        """Return the entry's configuration; raise Unavailable before the first."""
         if self.entry.configuration.document is None:
             raise Unavailable("No configuration is in force yet.", retry_after=1)
         return self.entry.configuration
 
     async def list_models(self, http_request):
-        """List the models that the configuration names."""
+        """Return the response that lists the configured models."""
         try:
-            configuration = self.configuration()
+            configuration = self.active_configuration()
             check_head(http_request)
             authenticate(http_request, configuration)
         except FescuedrumError as error:
@@ -127,7 +130,7 @@
         return web.json_response({"object": "list", "data": models})
 
     async def serve(self, http_request, call, trace):
-        """Run a call; only an idempotent one ends when its caller leaves."""
+        """Run a call; only an idempotent one is cancelled when its caller leaves."""
         request_context.set(
             {
                 "request": call.request_id,
@@ -137,15 +140,16 @@
         )
         reply = Reply(http_request, call)
         if call.repetition is Repetition.IDEMPOTENT:
-            return await self.run(call, reply, trace)
-        # A caller who leaves has this task cancelled. A booking that is under way
-        # must come to its end all the same, or its repeat would find half of it.
+            return await self.run_call(call, reply, trace)
+        # aiohttp cancels this task when the caller leaves. A call that isn't idempotent
+        # must still run to its end; otherwise its repeat would find it half done.
         trace.detached = True
-        work = asyncio.create_task(self.run(call, reply, trace))
-        work.add_done_callback(lambda _: self.close_trace(trace))
-        return await asyncio.shield(work)
+        task = asyncio.create_task(self.run_call(call, reply, trace))
+        task.add_done_callback(lambda _: self.finish_trace(trace))
+        return await asyncio.shield(task)
 
-    async def run(self, call, reply, trace):
+    async def run_call(self, call, reply, trace):
+        """Run a call within its organisation's limits and return its response."""
         self.entry.running += 1
         try:
             with self.entry.quota.admit(call):
@@ -153,28 +157,28 @@
             trace.end(loop_time(), reply.outcome)
         except Exception as error:
             if reply.started and isinstance(error, ConnectionError):
-                trace.end(loop_time(), Outcome.UNKNOWN, CODE_LEFT)
+                trace.end(loop_time(), Outcome.UNKNOWN, CODE_CALLER_LEFT)
                 return reply.response
-            await self.fail(reply, trace, known_error(error))
+            await self.report_failure(reply, trace, to_caller_error(error))
         finally:
             self.entry.running -= 1
         return reply.response
 
-    async def fail(self, reply, trace, error):
-        """Tell the caller of an error in the way that is still open."""
+    async def report_failure(self, reply, trace, error):
+        """Log an error and raise it, or abort the reply if it has started."""
         trace.fail(loop_time(), error)
-        # Refusals come by the thousand when the service is full, and a line for each
-        # would cost as much as the refusal; metrics and traces tell of them.
+        # A full service refuses thousands of requests, and a log line for each would
+        # cost as much as the refusal; metrics and traces record them instead.
         refused = error.outcome is Outcome.NOT_RUN
         event = RequestNotRun if refused else RequestNotAnswered
         log_event(logger, event(error.code))
         if not reply.started:
             raise error
-        await reply.break_off(error)
+        await reply.abort_stream(error)
 
 
-def known_error(error):
-    """Return an error that a caller may see; log one that is a fault of this code."""
+def to_caller_error(error):
+    """Return an error that the caller may see; log an unexpected one."""
     if isinstance(error, FescuedrumError):
         return error
     log_event(logger, RequestHandlerFailed(), error=error)
@@ -182,4 +186,5 @@
 
 
 def loop_time():
+    """Return the running event loop's time, in seconds."""
     return asyncio.get_running_loop().time()
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/request/keyed.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/request/keyed.py
@@ -1,4 +1,4 @@
-"""Carry out the steps of a request that may run at most once."""
+"""Run calls that may run at most once, as directed by KeyedRequest."""
 
 import asyncio
 import uuid
@@ -27,18 +27,18 @@
 from fescuedrum_entry.request.trace import Step
 
 STORE_RETRY_SECONDS = 0.1
-ASK_RETRY_SECONDS = 0.05
-ASK_SECONDS = 1.0
-# The last part of the time is for saying truthfully what became of the request.
+AGENT_RETRY_SECONDS = 0.05
+FENCE_REPLY_MARGIN_SECONDS = 1.0
+# Last part of the time to the deadline, kept for finding out the request's outcome.
 CLOSING_SHARE = 0.1
 MAXIMUM_CLOSING_SECONDS = 0.5
-# No frame for so long, on a connection that works, means that the agent has lost
-# sight of the request; asking again costs two frames.
-PROGRESS_SECONDS = 10.0
+# Without a frame for this long on a working connection, the agent has lost track of the
+# request; asking again costs two frames.
+FRAME_TIMEOUT_SECONDS = 10.0
 
 
 class KeyedRun:
-    """Own one such call from its first choice of an agent to its outcome."""
+    """Run one at-most-once call from choosing its agent to its outcome."""
 
     __slots__ = (
         "attempt",
@@ -61,9 +61,9 @@
         self.collector = Collector(reply)
         self.loop = asyncio.get_running_loop()
         self.attempt = 0
-        # The error that ends the call if it can be shown not to have run.
+        # The error that ends the call if the call provably didn't run.
         self.error = None
-        # The connection that was open when the table was last asked.
+        # The connection that was open when the row was last read or written.
         self.connection = None
         token = uuid.uuid4().hex
         self.request = KeyedRequest(token, rows.body_hash(call))
@@ -71,36 +71,39 @@
             self.rows = entry.claims
             self.key = rows.claim_key(call.organisation, call.service, call.key)
         else:
-            self.rows = rows.PrivateRow()
-            self.key = rows.unkeyed_key(token)
+            self.rows = rows.UnsharedRow()
+            self.key = rows.unkeyed_request_key(token)
 
     async def run(self):
-        """Fill the reply with a whole answer or raise a FescuedrumError."""
+        """Write the whole answer into the reply or raise a FescuedrumError."""
         step = self.request.start()
         while True:
             match step:
                 case steps.Replay(answer):
                     return await self.collector.replay(answer)
                 case steps.Record():
-                    return await self.end(step)
+                    return await self.finish_answer(step)
                 case steps.RefuseBody():
-                    raise KeyReused("The Idempotency-Key stands for another request.")
+                    raise KeyReused(
+                        "The Idempotency-Key was used for a different request."
+                    )
                 case steps.Tell():
-                    raise self.error_for(step)
-            event = await self.perform_in_time(step)
-            self.note(step, event)
+                    raise self.build_error(step)
+            event = await self.perform_before_deadline(step)
+            self.trace_step(step, event)
             step = self.request.handle(event)
             if self.error is not None and not self.request.closing:
-                # Waiting on would only keep the caller from its answer.
+                # Waiting longer would only delay the caller's answer.
                 step = self.request.handle(steps.DeadlineNear())
 
-    def note(self, step, event):
-        """Put a step and what came of it into the request's trace."""
+    def trace_step(self, step, event):
+        """Add a step and its result to the request's trace."""
         if trace := self.entry.traces.running.get(self.call.request_id):
             names = {"did": type(step).__name__, "result": type(event).__name__}
-            trace.note(Step.KEYED, self.loop.time(), **names)
+            trace.add_step(Step.KEYED, self.loop.time(), **names)
 
-    def error_for(self, tell):
+    def build_error(self, tell):
+        """Return the error that tells the caller why there is no answer."""
         if tell.outcome is Outcome.UNKNOWN:
             keyed = self.call.repetition is Repetition.KEYED
             kind = OutcomeUnknown if keyed else OutcomeUnknownUnkeyed
@@ -109,20 +112,21 @@
             return KeyNotChecked(tell.reason, retry_after=1)
         return self.error or DeadlinePassed(tell.reason)
 
-    async def perform_in_time(self, step):
-        """Carry out a step; the end of the time is an event like others."""
+    async def perform_before_deadline(self, step):
+        """Perform a step and return its event, also when the time runs out."""
         closing = self.request.closing
         try:
-            async with asyncio.timeout_at(self.limit(closing)):
+            async with asyncio.timeout_at(self.step_deadline(closing)):
                 return await self.perform(step)
         except TimeoutError:
             return steps.StoreSilent() if closing else steps.DeadlineNear()
         except FescuedrumError as error:
-            # No agent can take it; whether it ran under its key is still to be shown.
+            # No agent is available, but the call may have run earlier under its key.
             self.error = error
             return steps.DeadlineNear()
 
-    def limit(self, closing):
+    def step_deadline(self, closing):
+        """Return the loop time by which the next step must have ended."""
         deadline = self.call.deadline
         if closing:
             return max(deadline, self.loop.time() + MAXIMUM_CLOSING_SECONDS / 2)
@@ -130,9 +134,10 @@
         return deadline - min(MAXIMUM_CLOSING_SECONDS, max(share, 0.0))
 
     async def perform(self, step):
+        """Perform a step and return the event that it led to."""
         match step:
             case steps.ChooseAgent():
-                return await self.choose()
+                return await self.choose_agent()
             case steps.ReadRow():
                 return await self.read_row()
             case steps.WriteRow():
@@ -140,18 +145,20 @@
             case steps.Dispatch():
                 return await self.dispatch(step.claim)
             case steps.Ask():
-                return await self.ask(step.claim)
+                return await self.ask_agent(step.claim)
             case steps.Follow():
-                return await self.follow(step.claim)
+                return await self.follow_execution(step.claim)
 
-    async def choose(self):
+    async def choose_agent(self):
+        """Choose an agent for the call; wait for one if none is available."""
         link = await self.selection.next_link()
         return steps.Chosen(link.instance.name, link.incarnation)
 
     async def read_row(self):
+        """Read the key's row and return its claim, or that the store is silent."""
         claim = self.request.claim
         if claim is not None:
-            self.confirm(claim.agent)
+            self.remember_connection(claim.agent)
         try:
             return steps.RowRead(*await self.rows.read(self.key))
         except StoreUnavailable:
@@ -159,8 +166,9 @@
             return steps.StoreSilent()
 
     async def write_row(self, step):
+        """Write a claim to the key's row and return whether it was applied."""
         self.entry.faults.crash_if_set(ProtocolStep.ENTRY_BEFORE_CLAIM)
-        self.confirm(step.claim.agent)
+        self.remember_connection(step.claim.agent)
         try:
             applied = await self.rows.write(self.key, step.claim, step.expected_version)
         except StoreUnavailable:
@@ -169,12 +177,13 @@
         self.entry.faults.crash_if_set(ProtocolStep.ENTRY_CLAIMED)
         return steps.WriteDone(applied)
 
-    def confirm(self, agent):
-        """Remember the connection over which alone the claim may now be sent."""
+    def remember_connection(self, agent):
+        """Remember the agent's connection; dispatch may use no other one."""
         link = self.entry.links.get(agent)
         self.connection = link.connection if link is not None else None
 
     async def dispatch(self, claim):
+        """Send the call to the claim's agent, if its connection is unchanged."""
         link = self.entry.links.get(claim.agent)
         current = link is not None and link.connection is not None
         if (
@@ -184,30 +193,32 @@
             or link.last_heartbeat is None
         ):
             return steps.NotSent()
-        event = await self.exchange(link, claim, attach_only=False)
+        event = await self.run_exchange(link, claim, attach_only=False)
         if isinstance(event, steps.Refused):
-            return self.refused(link, event)
+            return self.handle_dispatch_refusal(link, event)
         return event
 
-    def refused(self, link, event):
+    def handle_dispatch_refusal(self, link, event):
+        """Return the event for a refused dispatch and avoid the agent."""
         if event.reason == RefusalReason.KEY_UNKNOWN:
             return steps.ConnectionLost()
         self.selection.mark_tried(link)
         return event
 
-    async def follow(self, claim):
+    async def follow_execution(self, claim):
+        """Attach to an execution at the claim's agent and pass on its answer."""
         link = self.entry.links.get(claim.agent)
         if link is None or link.connection is None:
-            await asyncio.sleep(ASK_RETRY_SECONDS)
+            await asyncio.sleep(AGENT_RETRY_SECONDS)
             return steps.ConnectionLost()
-        event = await self.exchange(link, claim, attach_only=True)
+        event = await self.run_exchange(link, claim, attach_only=True)
         if isinstance(event, steps.Refused):
-            await asyncio.sleep(ASK_RETRY_SECONDS)
+            await asyncio.sleep(AGENT_RETRY_SECONDS)
             return steps.ConnectionLost()
         return event
 
-    async def exchange(self, link, claim, *, attach_only):
-        """Send the request over a link and pass on what comes for it."""
+    async def run_exchange(self, link, claim, *, attach_only):
+        """Send the request over a link, pass on its answer and return the event."""
         self.attempt += 1
         request = build_request(self.call, self.attempt, self.loop.time())
         request.key = self.key
@@ -216,7 +227,7 @@
         request.incarnation = claim.incarnation
         request.attach_only = attach_only
         request.resume_offset = self.collector.length
-        exchange = link.open(request)
+        exchange = link.send_request(request)
         if not attach_only:
             self.entry.faults.crash_if_set(ProtocolStep.ENTRY_DISPATCHED)
         finished = False
@@ -228,10 +239,11 @@
             exchange.close(finished=finished)
 
     async def receive(self, exchange):
+        """Pass on an exchange's frames until its end and return the event."""
         while True:
             match await next_frame(exchange):
                 case frames.Refusal() as refusal:
-                    return self.take_refusal(exchange.link, refusal)
+                    return self.handle_refusal(exchange.link, refusal)
                 case Lost() | None:
                     return steps.ConnectionLost()
                 case frames.ResponseHead() as head:
@@ -240,40 +252,48 @@
                     if chunk.offset != self.collector.length:
                         return steps.ConnectionLost()
                     await self.collector.write(chunk.data)
-                    exchange.taken(len(chunk.data))
+                    exchange.grant_credit(len(chunk.data))
                 case frames.End() as end:
-                    return self.take_end(exchange.link, end)
+                    return self.handle_end(exchange.link, end)
 
-    def take_refusal(self, link, refusal):
+    def handle_refusal(self, link, refusal):
+        """Return the event for a refusal; report one that is about load."""
         if refusal.reason not in (
             RefusalReason.KEY_UNKNOWN,
             RefusalReason.FENCED,
             RefusalReason.OTHER_INCARNATION,
         ):
-            self.note_refusal(link, refusal.reason, refusal.retry_after_ms)
+            self.report_refusal(link, refusal.reason, refusal.retry_after_ms)
         return steps.Refused(refusal.reason)
 
-    def note_refusal(self, link, reason, retry_after_ms):
-        """Tell the selection; when another try is no use, the call ends not run."""
+    def report_refusal(self, link, reason, retry_after_ms):
+        """Report a refusal to the selection and keep the error if it raises one.
+
+        Such an error ends the call as not run, as another attempt is of no use.
+        """
         try:
-            self.selection.refused(link, reason, retry_after_ms)
+            self.selection.handle_refusal(link, reason, retry_after_ms)
         except FescuedrumError as error:
             self.error = error
 
-    def take_end(self, link, end):
+    def handle_end(self, link, end):
+        """Return the event for the end of an execution, with its answer."""
         if end.outcome == Outcome.NOT_RUN:
-            self.note_refusal(link, end.reason, end.retry_after_ms)
+            self.report_refusal(link, end.reason, end.retry_after_ms)
         elif end.outcome != Outcome.UNKNOWN and end.length != self.collector.length:
             return steps.ConnectionLost()
-        answer = self.collector.recorded(end.outcome)
+        answer = self.collector.build_recorded_answer(end.outcome)
         self.entry.faults.crash_if_set(ProtocolStep.ENTRY_ANSWERED)
         return steps.Ended(Outcome(end.outcome), answer, end.reason or "")
 
-    async def ask(self, claim):
-        """Ask the claim's agent for its verdict, over whichever connection there is."""
+    async def ask_agent(self, claim):
+        """Send a fence to the claim's agent and return its verdict, if it replies.
+
+        Any connection to the agent may be used.
+        """
         link = self.entry.links.get(claim.agent)
         if link is None or link.connection is None:
-            await asyncio.sleep(ASK_RETRY_SECONDS)
+            await asyncio.sleep(AGENT_RETRY_SECONDS)
             return steps.CannotAsk()
         self.entry.faults.crash_if_set(ProtocolStep.ENTRY_BEFORE_FENCE)
         patience = self.entry.settings.fence_patience_seconds
@@ -283,39 +303,40 @@
             incarnation=claim.incarnation,
             patience_ms=int(patience * 1000),
         )
-        exchange = link.ask(fence)
+        exchange = link.send_fence(fence)
         try:
-            async with asyncio.timeout(patience + ASK_SECONDS):
+            async with asyncio.timeout(patience + FENCE_REPLY_MARGIN_SECONDS):
                 reply = await exchange.receive()
         except TimeoutError:
             return steps.CannotAsk()
         finally:
             exchange.close(finished=True)
         if not isinstance(reply, frames.FenceReply):
-            await asyncio.sleep(ASK_RETRY_SECONDS)
+            await asyncio.sleep(AGENT_RETRY_SECONDS)
             return steps.CannotAsk()
         self.entry.faults.crash_if_set(ProtocolStep.ENTRY_FENCED)
         return steps.Answered(FenceResult(reply.verdict))
 
-    async def end(self, step):
-        """Give the caller the end of the answer, then keep it in the key's row."""
-        # A large answer has no bytes in the row; its outcome is in the reply's status.
+    async def finish_answer(self, step):
+        """Finish the caller's answer, then record it in the key's row."""
+        # A large answer isn't in the row; its outcome follows from its status.
         await self.collector.finish(self.outcome_of(step))
-        self.entry.spawn(self.record(step))
+        self.entry.spawn(self.record_answer(step))
 
     def outcome_of(self, step):
+        """Return the outcome of a whole answer."""
         if step.claim.answer is not None:
             return step.claim.answer.outcome
         failed = self.collector.head.status >= 500
         return Outcome.FAILED if failed else Outcome.ANSWERED
 
-    async def record(self, step):
-        """Keep the end in the row and let the agent forget the answer."""
+    async def record_answer(self, step):
+        """Write the outcome to the key's row and tell the agent that it is recorded."""
         self.entry.faults.crash_if_set(ProtocolStep.ENTRY_REPLIED)
         try:
             applied = await self.rows.write(self.key, step.claim, step.expected_version)
         except StoreUnavailable:
-            # The agent keeps the answer; the next repeat of the key records it.
+            # The agent keeps the answer, and the next repeat with the key records it.
             return
         self.entry.faults.crash_if_set(ProtocolStep.ENTRY_RECORDED)
         link = self.entry.links.get(step.claim.agent)
@@ -325,9 +346,9 @@
 
 
 async def next_frame(exchange):
-    """Return the next frame; None when nothing has come for too long."""
+    """Return the next frame, or None after FRAME_TIMEOUT_SECONDS without one."""
     try:
-        async with asyncio.timeout(PROGRESS_SECONDS):
+        async with asyncio.timeout(FRAME_TIMEOUT_SECONDS):
             return await exchange.receive()
     except TimeoutError:
         return None
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/request/parse.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/request/parse.py
@@ -1,4 +1,4 @@
-"""Turn a caller's HTTP request into a call, or refuse it before it costs anything."""
+"""Parse and validate a caller's HTTP request into a Call."""
 
 import re
 
@@ -31,15 +31,15 @@
     PRIORITY_HEADER,
     CLASS_HEADER,
 )
-KEY_FORM = re.compile(r"[\x21-\x7e]{1,200}")
+KEY_PATTERN = re.compile(r"[\x21-\x7e]{1,200}")
 MAXIMUM_DEADLINE_MS = 3_600_000
 MAXIMUM_PRIORITY = 9
 DEFAULT_PRIORITY = 5
-PLAIN_COST = 1.0
+PLAIN_REQUEST_COST = 1.0
 CHAT_PATH = "/v1/chat/completions"
-# CONNECT asks for a tunnel, and TRACE would show a caller what was added on the way.
+# CONNECT requests a tunnel; TRACE would show the caller headers added on the way.
 REFUSED_METHODS = frozenset(("CONNECT", "TRACE"))
-OWN_HEADERS = frozenset(
+NOT_FORWARDED_HEADERS = frozenset(
     (
         "authorization",
         "content-length",
@@ -53,18 +53,18 @@
 
 
 async def parse_call(http_request, configuration, settings, now, request_id):
-    """Build the call; raise BadRequest or a kind of it."""
+    """Return the Call of an HTTP request; raise a FescuedrumError if invalid."""
     check_head(http_request)
-    # The organisation comes first: a stranger's body is not even read.
+    # Authenticate first, so that the body of an unknown caller isn't read.
     organisation = authenticate(http_request, configuration)
     deadline = now + read_deadline(http_request, settings)
     priority = read_priority(http_request, organisation, configuration)
-    service = find_plain(http_request, configuration)
+    service = find_plain_service(http_request, configuration)
     body = await read_body(http_request, settings)
-    asked = Completion(model="", streamed=False, cost=PLAIN_COST)
+    completion = Completion(model="", streamed=False, cost=PLAIN_REQUEST_COST)
     path = raw_path(http_request)
     if service is None:
-        service, asked = find_engine(http_request, configuration, body)
+        service, completion = find_engine_service(http_request, configuration, body)
     else:
         path = path_below(path)
     if DEADLINE_HEADER not in http_request.headers:
@@ -82,17 +82,17 @@
         key=key,
         deadline=deadline,
         priority=priority,
-        cost=asked.cost,
-        model=asked.model,
-        prefix=asked.prefix,
-        streamed=asked.streamed,
+        cost=completion.cost,
+        model=completion.model,
+        prefix=completion.prefix,
+        streamed=completion.streamed,
     )
 
 
 def check_head(http_request):
-    """Refuse what can't go on as it came."""
+    """Raise BadRequest for a head that can't be forwarded unchanged."""
     if http_request.method in REFUSED_METHODS:
-        raise MethodNotAllowed(f"{http_request.method} is not offered.")
+        raise MethodNotAllowed(f"{http_request.method} is not allowed.")
     if not http_request.raw_path.isascii():
         raise BadRequest("The path is not percent-encoded.", field="path")
     for name, value in http_request.headers.items():
@@ -100,40 +100,47 @@
             raise BadRequest(f"The header {name} is not UTF-8.", field=name)
     for name in SINGLE_HEADERS:
         if len(http_request.headers.getall(name, ())) > 1:
-            raise BadRequest(f"The header {name} stands twice.", field=name)
+            raise BadRequest(f"The header {name} is given more than once.", field=name)
 
 
 def raw_path(http_request):
-    """Return path and query with their percent-encoding as they came."""
+    """Return the path and query with their original percent-encoding."""
     path = http_request.raw_path
-    # A client may send the absolute form, as to a proxy.
+    # A client may send an absolute URL, as it would to a proxy.
     return path if path.startswith("/") else http_request.rel_url.raw_path_qs
 
 
 def path_below(path):
-    """Return what follows /services/NAME, as the service's own path."""
+    """Return the path below /services/NAME, as sent to the service."""
     rest = path.split("/", 3)[3:]
     return "/" + "".join(rest)
 
 
 def forwarded_headers(http_request):
-    """Return the headers that the endpoint gets."""
-    headers = end_to_end_headers(http_request.headers, without=OWN_HEADERS)
-    seen = http_request.headers
-    through = [*seen.getall("X-Forwarded-For", ()), http_request.remote or "unknown"]
-    headers.append(("X-Forwarded-For", ", ".join(through)))
-    # The platform's balancer stands in front and knows better than this process.
+    """Return the headers to send to the endpoint."""
+    headers = end_to_end_headers(http_request.headers, without=NOT_FORWARDED_HEADERS)
+    received_headers = http_request.headers
+    forwarded_for = [
+        *received_headers.getall("X-Forwarded-For", ()),
+        http_request.remote or "unknown",
+    ]
+    headers.append(("X-Forwarded-For", ", ".join(forwarded_for)))
+    # The platform's load balancer sets it; this process sees only the scheme of the
+    # balancer's own connection.
     headers.append(
-        ("X-Forwarded-Proto", seen.get("X-Forwarded-Proto", http_request.scheme))
+        (
+            "X-Forwarded-Proto",
+            received_headers.get("X-Forwarded-Proto", http_request.scheme),
+        )
     )
-    host = seen.get("X-Forwarded-Host") or seen.get("Host")
+    host = received_headers.get("X-Forwarded-Host") or received_headers.get("Host")
     if host:
         headers.append(("X-Forwarded-Host", host))
     return headers
 
 
 def authenticate(http_request, configuration):
-    """Return the organisation whose key the request carries."""
+    """Return the organisation of the request's API key; raise UnknownKey."""
     scheme, _, key = http_request.headers.get("Authorization", "").partition(" ")
     organisation = configuration.organisations.get(key.partition(".")[0])
     if scheme.lower() != "bearer" or organisation is None or not key.isascii():
@@ -144,7 +151,7 @@
 
 
 async def read_body(http_request, settings):
-    """Return the whole body within the limits of size and time."""
+    """Return the whole body; raise an error when it is too large or too slow."""
     maximum = settings.maximum_body_bytes
     if (http_request.content_length or 0) > maximum:
         raise BodyTooLarge(f"The body is over {maximum} bytes.")
@@ -152,10 +159,10 @@
         return b""
     try:
         if http_request.content.is_eof():
-            # It came with the head, so there is nothing to wait for.
-            return await read_within(http_request.content, maximum)
+            # The body arrived with the head, so no timeout is needed.
+            return await read_limited(http_request.content, maximum)
         async with http_request.protocol.server.body_timeout(settings.body_seconds):
-            return await read_within(http_request.content, maximum)
+            return await read_limited(http_request.content, maximum)
     except StopDeadlinePassed as error:
         raise stopping_error() from error
     except TimeoutError as error:
@@ -163,10 +170,13 @@
             f"The body took over {settings.body_seconds} seconds."
         ) from error
     except (HttpProcessingError, aiohttp.ClientPayloadError) as error:
-        raise BadRequest("The body is cut or wrongly framed.", field="body") from error
+        raise BadRequest(
+            "The body is truncated or incorrectly framed.", field="body"
+        ) from error
 
 
-async def read_within(content, maximum):
+async def read_limited(content, maximum):
+    """Read a body to its end; raise BodyTooLarge over the maximum."""
     body = bytearray()
     while not content.at_eof():
         body += await content.readany()
@@ -175,7 +185,7 @@
     return bytes(body)
 
 
-def find_plain(http_request, configuration):
+def find_plain_service(http_request, configuration):
     """Return the plain service of the path, or None for an engine's path."""
     name = http_request.match_info.get("service")
     if name is None:
@@ -186,8 +196,8 @@
     return service
 
 
-def find_engine(http_request, configuration, body):
-    """Return the service and the Completion of a request."""
+def find_engine_service(http_request, configuration, body):
+    """Return the service of a request's model, and its parsed Completion."""
     if http_request.headers.get("Content-Encoding", "identity") != "identity":
         raise BadRequest("The body is compressed.", field="Content-Encoding")
     chat = http_request.path == CHAT_PATH
@@ -201,7 +211,7 @@
 def classify(http_request, service):
     """Return how often the request may run, and its key if it has one."""
     key = http_request.headers.get(KEY_HEADER)
-    if key is not None and not KEY_FORM.fullmatch(key):
+    if key is not None and not KEY_PATTERN.fullmatch(key):
         raise BadRequest(
             f"{KEY_HEADER} must be 1 to 200 visible ASCII characters.", field=KEY_HEADER
         )
@@ -211,19 +221,21 @@
 
 
 def is_idempotent(service, method):
-    """Tell whether calls of a method may be repeated at a service."""
+    """Return whether a service's calls of an HTTP method may be repeated."""
     return service.kind is ServiceKind.ENGINE or method in service.idempotent_methods
 
 
 def read_deadline(http_request, settings):
-    """Return the time that the caller gives, in seconds."""
+    """Return the seconds that the caller allows, or the default."""
     default = int(settings.default_deadline_seconds * 1000)
-    given = read_number(http_request, DEADLINE_HEADER, 1, MAXIMUM_DEADLINE_MS, default)
+    given = read_number_header(
+        http_request, DEADLINE_HEADER, 1, MAXIMUM_DEADLINE_MS, default
+    )
     return given / 1000
 
 
 def read_priority(http_request, organisation, configuration):
-    """Return the priority that the caller gives, or that of the class of work."""
+    """Return the caller's priority, or that of its class of work."""
     default = DEFAULT_PRIORITY
     allowed = organisation.classes
     name = http_request.headers.get(CLASS_HEADER) or next(iter(allowed), None)
@@ -233,15 +245,18 @@
                 f"There is no class {name!r} for the organisation.", field=CLASS_HEADER
             )
         default = configuration.classes[name].priority
-    return read_number(http_request, PRIORITY_HEADER, 0, MAXIMUM_PRIORITY, default)
+    return read_number_header(
+        http_request, PRIORITY_HEADER, 0, MAXIMUM_PRIORITY, default
+    )
 
 
-def read_number(http_request, name, minimum, maximum, default):
+def read_number_header(http_request, name, minimum, maximum, default):
+    """Return the integer in a header, or the default without the header."""
     text = http_request.headers.get(name)
     if text is None:
         return default
-    # Only ASCII digits: other scripts' digits and very long numbers pass int() or
-    # break it, and a caller who sends them has made a mistake.
+    # int() accepts digits of other scripts and raises for very long numbers; both are
+    # the caller's mistake.
     digits = text.isascii() and text.isdecimal() and len(text) <= len(str(maximum))
     if not digits or not minimum <= int(text) <= maximum:
         raise BadRequest(
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/request/passage.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/request/passage.py
@@ -1,65 +1,76 @@
-"""Pass one attempt's answer to the caller, and never bytes of two."""
+"""Relay the answers of retried attempts without mixing bytes of two answers."""
 
 import hashlib
 
 from fescuedrum.outcomes import Outcome
 
 
-class AnswerMismatch(Exception):  # noqa: N818 - a finding, not a fault
-    """Report that a repeat's answer is not the one the caller has begun to read."""
+class AnswerMismatch(Exception):  # noqa: N818 - an expected result, not a fault
+    """Report that a retry's answer differs from what the caller has received."""
 
 
 class AnswerRelay:
-    """Carry answers of successive attempts into one reply.
+    """Relay the answers of successive attempts to one reply.
 
-    What the caller has not seen is simply replaced. Once the caller has seen bytes, a
-    repeat's answer must begin with exactly these: they are compared and left out, and
-    what the caller then has is the repeat's answer from its first byte to its last.
-    Engines that generate the same text again pass; all others end honestly.
+    An answer of which the caller has received nothing is replaced by the next one. Once
+    the caller has received bytes, a retry's answer must begin with exactly those bytes.
+    They are compared and skipped, so that the caller ends up with the whole answer of
+    the retry. An engine that generates the same text again thus completes the reply;
+    any other answer raises AnswerMismatch.
     """
 
-    __slots__ = ("digest", "length", "passed", "prefix", "reply")
+    __slots__ = ("attempt_bytes", "prefix_digest", "reply", "sent_bytes", "sent_digest")
 
     def __init__(self, reply):
         self.reply = reply
-        # Bytes passed to the caller in all, and their digest.
-        self.passed = 0
-        self.digest = hashlib.sha256()
-        # Bytes of the present attempt, and the digest of what repeats the caller's.
-        self.length = 0
-        self.prefix = None
+        # Number of bytes written to the reply, and their digest.
+        self.sent_bytes = 0
+        self.sent_digest = hashlib.sha256()
+        # Number of bytes of the current attempt, and the digest of those that repeat
+        # bytes already written; None while nothing must be compared.
+        self.attempt_bytes = 0
+        self.prefix_digest = None
 
     async def start(self, status, headers):
-        self.length = 0
+        """Start the reply, or compare with the answer already started there."""
+        self.attempt_bytes = 0
         if not self.reply.started:
-            self.passed = 0
-            self.digest = hashlib.sha256()
-            self.prefix = None
+            self.sent_bytes = 0
+            self.sent_digest = hashlib.sha256()
+            self.prefix_digest = None
             await self.reply.start(status, headers)
             return
         if status != self.reply.status:
             raise AnswerMismatch
-        self.prefix = hashlib.sha256()
+        self.prefix_digest = hashlib.sha256()
 
     async def write(self, data):
-        data = self.leave_out_known(data)
+        """Write the part of the data that the caller doesn't have yet."""
+        data = self.skip_sent_bytes(data)
         if data:
-            self.digest.update(data)
-            self.passed += len(data)
+            self.sent_digest.update(data)
+            self.sent_bytes += len(data)
             await self.reply.write(data)
 
-    def leave_out_known(self, data):
-        """Compare bytes that the caller has already; return those it has not."""
-        known = max(0, self.passed - self.length)
-        self.length += len(data)
-        if self.prefix is None or not known:
+    def skip_sent_bytes(self, data):
+        """Return the bytes that are new to the caller.
+
+        Raise AnswerMismatch when the skipped ones differ from what was written.
+        """
+        overlap = max(0, self.sent_bytes - self.attempt_bytes)
+        self.attempt_bytes += len(data)
+        if self.prefix_digest is None or not overlap:
             return data
-        self.prefix.update(data[:known])
-        if len(data) >= known and self.prefix.digest() != self.digest.digest():
+        self.prefix_digest.update(data[:overlap])
+        if (
+            len(data) >= overlap
+            and self.prefix_digest.digest() != self.sent_digest.digest()
+        ):
             raise AnswerMismatch
-        return data[known:]
+        return data[overlap:]
 
     async def finish(self, outcome):
-        if self.length < self.passed:
+        """Finish the reply; raise AnswerMismatch when the answer is too short."""
+        if self.attempt_bytes < self.sent_bytes:
             raise AnswerMismatch
         await self.reply.finish(Outcome(outcome))
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/request/quota.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/request/quota.py
@@ -1,4 +1,4 @@
-"""Hold requests to the limits of their organisations."""
+"""Enforce the limits of organisations."""
 
 import asyncio
 import contextlib
@@ -9,7 +9,7 @@
 
 
 class Quota:
-    """Own what organisations use at this entry."""
+    """Track each organisation's usage at this entry and enforce its limits."""
 
     __slots__ = ("allowances", "entry")
 
@@ -19,10 +19,10 @@
 
     @contextlib.contextmanager
     def admit(self, call):
-        """Count a call while it runs; raise LimitReached when it is one too many."""
+        """Count a call while it runs; raise LimitReached when it exceeds a limit."""
         organisation = self.entry.configuration.organisations.get(call.organisation)
         if organisation is None:
-            # Removed since the call was parsed; nothing bounds what is under way.
+            # The organisation was removed after the call was parsed; no limits apply.
             yield
             return
         exceeded = self.allowances.start_request(
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/request/requests.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/request/requests.py
@@ -1,11 +1,14 @@
-"""Build the frame that carries a call to an agent."""
+"""Build the frame that sends a call to an agent."""
 
 from fescuedrum.wire.gen.frames import ttypes as frames
 from fescuedrum_entry.request.call import Repetition
 
 
 def build_request(call, attempt, now):
-    """Return the request; the time left goes with it, never a clock reading."""
+    """Return the Request frame of a call.
+
+    The frame holds the time left until the deadline, never a clock reading.
+    """
     return frames.Request(
         attempt=attempt,
         request_id=call.request_id,
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/request/rows.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/request/rows.py
@@ -1,10 +1,10 @@
-"""Name the row that stands for a request which may run at most once."""
+"""Rows and keys of requests that may run at most once."""
 
 import hashlib
 
 
-class PrivateRow:
-    """Stand for the row of a request without a key: nobody else can claim it."""
+class UnsharedRow:
+    """Hold the row of a request without a key in memory, unshared with others."""
 
     __slots__ = ("claim", "version")
 
@@ -13,9 +13,11 @@
         self.version = 0
 
     async def read(self, _):
+        """Return the claim, or None, and the row's version."""
         return self.claim, self.version
 
     async def write(self, _, claim, expected_version):
+        """Write a claim if the version is as expected; return whether it was."""
         if expected_version != self.version:
             return False
         self.claim = claim
@@ -24,16 +26,17 @@
 
 
 def claim_key(organisation, service, key):
-    """Return the row of a caller's key; a key means nothing outside its service."""
+    """Return the row key of a caller's key within an organisation and a service."""
     digest = hashlib.sha256(key.encode()).hexdigest()
     return f"claim/{organisation}/{service}/{digest}"
 
 
-def unkeyed_key(token):
-    """Return the name under which an agent remembers a request without a key."""
+def unkeyed_request_key(token):
+    """Return the key under which an agent records a request without a key."""
     return f"once/{token}"
 
 
 def body_hash(call):
+    """Return the hash of a call's method, path and body."""
     text = f"{call.method} {call.path}\n".encode() + call.body
     return hashlib.sha256(text).hexdigest()
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/request/selection.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/request/selection.py
@@ -1,4 +1,4 @@
-"""Choose the endpoint of each attempt of one call, and wait when there is none."""
+"""Choose an endpoint for each attempt of a call, and wait if none is available."""
 
 import asyncio
 import math
@@ -7,16 +7,17 @@
 from fescuedrum.decisions.routing import RoutingPreference
 from fescuedrum.exceptions import Overloaded, Unavailable
 
-# Two endpoints that are both too full speak for the service: more would only load it.
+# Two overloaded endpoints are taken as a sign that the whole service is overloaded;
+# further attempts would only add load.
 MAXIMUM_REFUSALS = 2
 MILLISECONDS = 1000
 
 
 class Selection:
-    """Own the choices made for one call.
+    """Choose the endpoints for one call's attempts and track their refusals.
 
-    It waits only while no endpoint may get work at all. Work for busy endpoints waits
-    at their agents, where the requests of all entries meet.
+    The call waits here only while no endpoint is available at all. Calls to busy
+    endpoints wait at the agents, which see the requests of all entries.
     """
 
     __slots__ = ("call", "entry", "loop", "refusals", "retry_after", "tried")
@@ -30,10 +31,10 @@
         self.loop = asyncio.get_running_loop()
 
     async def next_link(self):
-        """Return the link of an endpoint that may get the call.
+        """Return the link of an available endpoint, waiting for one if necessary.
 
-        Raise Unavailable at once when there is none and too many wait already, and
-        when none came back within the entry's patience or the call's deadline.
+        Raise Unavailable when too many calls wait already, or when no endpoint becomes
+        available within the entry's longest wait or by the call's deadline.
         """
         link = self.choose()
         if link is None:
@@ -41,14 +42,17 @@
         return link
 
     def choose(self):
-        """Return a link that was not tried; tried ones when all were, or None."""
-        link = self.entry.router.choose(self.call.service, self.wish())
+        """Return an untried link, or a tried one if all were tried, or None."""
+        link = self.entry.router.choose(self.call.service, self.routing_preference())
         if link is None and self.tried:
             self.tried.clear()
-            link = self.entry.router.choose(self.call.service, self.wish())
+            link = self.entry.router.choose(
+                self.call.service, self.routing_preference()
+            )
         return link
 
-    def wish(self):
+    def routing_preference(self):
+        """Return what the router should prefer for this call's next attempt."""
         return RoutingPreference(
             zone=self.entry.settings.zone,
             organisation=self.call.organisation,
@@ -58,14 +62,14 @@
         )
 
     def mark_tried(self, link):
-        """Prefer other endpoints than this one for the next attempt."""
+        """Prefer other endpoints to this one for the next attempt."""
         self.tried.add(link.instance.name)
 
-    def refused(self, link, reason, retry_after_ms):
-        """Take an agent's refusal; raise Overloaded when another try is no use.
+    def handle_refusal(self, link, reason, retry_after_ms):
+        """Record an agent's refusal; raise Overloaded when the service is overloaded.
 
-        The caller gets its answer at once, with the time to come back: waiting here
-        would only add this call to the load of which there is too much.
+        The caller gets the error immediately, with the time after which to retry:
+        waiting here would only add this call to the overload.
         """
         self.mark_tried(link)
         if reason in TRY_ELSEWHERE or retry_after_ms is None:
@@ -79,10 +83,10 @@
 
 
 class PendingCalls:
-    """Hold the calls of one entry for which no endpoint may get work just now.
+    """Limit the calls of one entry that wait for an endpoint to become available.
 
-    Without a bound, an outage of a service would fill the entry with calls of that
-    service until others find no memory.
+    Without the limit, calls to a service that is down would pile up in the entry until
+    it has no memory left for calls to other services.
     """
 
     __slots__ = ("entry", "limit", "patience", "waiting")
@@ -94,21 +98,27 @@
         self.waiting = 0
 
     async def wait(self, selection):
-        """Wait for an endpoint and return its link; raise Unavailable."""
+        """Wait for an endpoint and return its link.
+
+        Raise Unavailable at the limit of waiting calls or after the longest wait.
+        """
         if self.waiting >= self.limit:
-            raise Unavailable("Too many calls wait for an endpoint.", retry_after=1)
+            raise Unavailable(
+                "Too many calls are waiting for an endpoint.", retry_after=1
+            )
         self.waiting += 1
         try:
             end = min(selection.call.deadline, selection.loop.time() + self.patience)
             async with asyncio.timeout_at(end):
-                return await self.next_change(selection)
+                return await self.wait_for_link(selection)
         except TimeoutError as error:
-            detail = "No endpoint may get work."
+            detail = "No endpoint is available."
             raise Unavailable(detail, retry_after=1) from error
         finally:
             self.waiting -= 1
 
-    async def next_change(self, selection):
+    async def wait_for_link(self, selection):
+        """Return a link as soon as a change of the routes makes one available."""
         routes = self.entry.router.routes(selection.call.service)
         while True:
             await routes.changed.wait()
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/request/trace.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/request/trace.py
@@ -1,10 +1,9 @@
-"""Keep what became of recent requests: where each waited and why it went there.
+"""Keep traces of recent requests: their steps, waits and chosen endpoints.
 
-Load pattern: thousands of requests a second, of which operators ask for a few, mostly
-for those that went wrong. One ring of the last requests would be overwritten within
-seconds by the ones that went well. So requests that went wrong, that took more than
-one attempt or that were slow have a ring of their own, in which they last for as long
-as there are few of them.
+Load pattern: thousands of requests per second, of which operators look up a few, mostly
+failed ones. In a single ring buffer, the successful requests would overwrite the failed
+ones within seconds. Requests that failed, took more than one attempt or were slow
+therefore have a ring of their own, in which they stay for as long as they are few.
 """
 
 import collections
@@ -14,15 +13,15 @@
 from fescuedrum.outcomes import Outcome
 
 CODE_OK = "ok"
-# A request that retries without end must not fill the memory with its own trace.
+# Limits the memory that the trace of an endlessly retried request can take.
 MAXIMUM_EVENTS = 100
 
 
 class Step(enum.StrEnum):
-    """Name what can happen to a request."""
+    """Name the steps of a request."""
 
     PARSED = "parsed"
-    # A step of a request that may run once, such as the write of its claim.
+    # A step of an at-most-once request, such as writing its claim.
     KEYED = "keyed"
     SENT = "sent"
     REFUSED = "refused"
@@ -34,7 +33,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Event:
-    """Hold one step: its time in seconds since the request's head, and its details."""
+    """Hold one step, its time in seconds since the request's head, and its details."""
 
     at: float
     step: Step
@@ -43,7 +42,7 @@
 
 @dataclass(slots=True)
 class Trace:
-    """Follow one request; all times are of the loop's clock, in seconds."""
+    """Hold the course of one request; times are in seconds of event loop time."""
 
     request_id: str
     began: float
@@ -57,23 +56,23 @@
     outcome: str = ""
     code: str = ""
     message: str = ""
-    # Seconds since the head; None while it has not happened.
+    # Seconds from the request's head to the event; None before it.
     first_byte: float | None = None
     seconds: float | None = None
     attempts: int = 0
     cost: float = 0.0
     streamed: bool = False
-    # Of the attempt that was answered: its queue, in seconds, and its endpoint.
+    # Of the answered attempt: seconds in the endpoint's queue, and the endpoint.
     waited: float = 0.0
     cold: bool = False
     zone: str = ""
     endpoint: str = ""
-    # Whether the request runs on after its caller left.
+    # Whether the request goes on running after its caller has left.
     detached: bool = False
     events: list[Event] = field(default_factory=list)
 
-    def take_call(self, call, version, now):
-        """Note what the entry read from the request."""
+    def record_call(self, call, version, now):
+        """Copy the fields of the parsed call and add the PARSED step."""
         self.organisation = call.organisation
         self.service = call.service
         self.method = call.method
@@ -83,10 +82,10 @@
         self.version = version
         self.cost = call.cost
         self.streamed = call.streamed
-        self.note(Step.PARSED, now, body_bytes=len(call.body), cost=call.cost)
+        self.add_step(Step.PARSED, now, body_bytes=len(call.body), cost=call.cost)
 
-    def note(self, step, now, **details):
-        """Add a step; count attempts and the first byte by it."""
+    def add_step(self, step, now, **details):
+        """Add a step; count attempts and set the time of the first byte."""
         at = now - self.began
         if step is Step.SENT:
             self.attempts += 1
@@ -96,58 +95,61 @@
             self.events.append(Event(at, step, details))
 
     def end(self, now, outcome, code=CODE_OK, message=""):
+        """Set the outcome and the duration of the request."""
         self.outcome = str(outcome)
         self.code = code
         self.message = message
         self.seconds = now - self.began
 
     def fail(self, now, error):
-        """Note an error as the end, unless an earlier one is noted already."""
+        """End the trace with an error, unless it has ended already."""
         if self.seconds is None:
             self.end(now, error.outcome.value, error.code, str(error))
 
 
 class TraceBuffer:
-    """Hold the traces of running requests and of recent ones, within bounds."""
+    """Hold the traces of running requests and a limited number of recent ones."""
 
-    __slots__ = ("notable", "plain", "running", "size", "slow_seconds")
+    __slots__ = ("notable", "ordinary", "running", "size", "slow_seconds")
 
     def __init__(self, size, slow_seconds):
         self.size = size
         self.slow_seconds = slow_seconds
         self.running = {}
-        self.plain = collections.OrderedDict()
+        self.ordinary = collections.OrderedDict()
         self.notable = collections.OrderedDict()
 
     def begin(self, request_id, now):
+        """Return a new trace for a request that starts now."""
         trace = Trace(request_id, now)
         self.running[request_id] = trace
         return trace
 
     def finish(self, trace):
-        """Move a request that came to its end into one of the rings."""
+        """Move an ended request's trace to the notable or the ordinary ring."""
         self.running.pop(trace.request_id, None)
-        ring = self.notable if self.is_notable(trace) else self.plain
+        ring = self.notable if self.is_notable(trace) else self.ordinary
         ring[trace.request_id] = trace
         if len(ring) > self.size:
             ring.popitem(last=False)
 
     def is_notable(self, trace):
+        """Return whether a trace goes to the ring of notable requests."""
         if not trace.organisation:
-            # A stranger could otherwise wash out what operators look for.
+            # Unauthenticated requests could otherwise push out the ones operators need.
             return False
-        wrong = trace.outcome != Outcome.ANSWERED
-        return wrong or trace.attempts > 1 or trace.seconds >= self.slow_seconds
+        went_wrong = trace.outcome != Outcome.ANSWERED
+        return went_wrong or trace.attempts > 1 or trace.seconds >= self.slow_seconds
 
     def find(self, request_id):
-        """Return the trace of a request, or None when it is not held any more."""
-        for ring in (self.running, self.notable, self.plain):
+        """Return the trace of a request, or None if it is unknown or overwritten."""
+        for ring in (self.running, self.notable, self.ordinary):
             if trace := ring.get(request_id):
                 return trace
         return None
 
     def recent(self, limit, organisation=""):
-        """Return the newest notable traces, newest first."""
+        """Return the newest notable traces, of one organisation or of all."""
         found = [
             trace
             for trace in reversed(self.notable.values())
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/version/__init__.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/version/__init__.py
@@ -1,1 +1,1 @@
-"""Hold what lives as long as one configuration version."""
+"""Keep the entry's configuration at its newest version."""
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/version/following.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/version/following.py
@@ -1,4 +1,4 @@
-"""Follow the head row and the peers' words, so that new versions come in force."""
+"""Apply new configuration versions from the store's head row and from peers."""
 
 import asyncio
 import logging
@@ -15,7 +15,7 @@
 
 
 class ConfigurationFollower:
-    """Bring newer versions into an entry's configuration from all sides."""
+    """Update an entry's configuration from the store and from peers' announcements."""
 
     __slots__ = ("configuration", "loop", "platform", "pulls", "reads")
 
@@ -27,7 +27,7 @@
         self.loop = asyncio.get_running_loop()
 
     async def run(self, interval):
-        """Read the head row, each time after the seconds that interval() returns."""
+        """Read the head row repeatedly, waiting interval() seconds between reads."""
         while True:
             try:
                 await self.refresh()
@@ -36,7 +36,10 @@
             await asyncio.sleep(interval())
 
     async def refresh(self):
-        """Read the head once; raise StoreUnavailable."""
+        """Read the head row once and apply its version if it is newer.
+
+        Raise StoreUnavailable when the store gives no answer.
+        """
         self.reads += 1
         head, _ = await read_head(self.platform)
         if head.version <= self.configuration.version:
@@ -45,15 +48,15 @@
         if body is not None:
             self.configuration.update_if_newer(head.version, head.hash, body)
 
-    def heard(self, connection, heartbeat):
-        """Pull from a peer that announces a newer version."""
+    def handle_heartbeat(self, connection, heartbeat):
+        """Request the document from a peer that announces a newer version."""
         announced = heartbeat.version or 0
         in_force = self.configuration.version
         if self.pulls.should_pull(announced, in_force, self.loop.time()):
             connection.send(pull=Pull())
 
-    def answer(self, connection, pull):
-        """Send the document to a peer that asked for its hash."""
+    def answer_pull(self, connection, pull):
+        """Send the document to a peer that requested it by its hash."""
         document = self.configuration.answer(pull)
         if document is not None:
             connection.send(document=document)
--- a/tests/unit/test_callers.py
+++ b/tests/unit/test_callers.py
@@ -1,4 +1,4 @@
-"""Check the callers' interface on real sockets."""
+"""Test the callers' HTTP interface over real sockets."""
 
 import asyncio
 import json
@@ -79,17 +79,18 @@
 
 
 async def test_arbitrary_requests_get_only_4xx_and_never_break_the_entry(monkeypatch):
-    """A caller's broken program, or a scanner, sends whatever it likes.
+    """Guard against a 5xx answer to an invalid request.
 
-    Each refusal must name the caller's fault; a 5xx would be taken for the
-    product's fault, counted as an outage, and repeated.
+    Faulty clients and scanners send arbitrary data. A 5xx status would count as an
+    outage of the product and would be retried.
     """
     statuses = set()
     loop = asyncio.get_running_loop()
 
     @settings(max_examples=300, deadline=None, database=None, derandomize=True)
-    # What is drawn hangs on which modules this worker has imported by now, as their
-    # constants are drawn too: one request for each status that must be seen is fixed.
+    # Hypothesis also draws constants of the imported modules, so the examples depend on
+    # the modules that this worker has imported. One request is fixed for each status
+    # that must be seen.
     @example(b"GET", b"/v1/models", [], b"", True)
     @example(b"GET", b"/v1/models", [], b"", False)
     @example(b"POST", b"/v1/completions", [], b"{", True)
@@ -115,7 +116,7 @@
     assert {200, 400, 401, 404} <= statuses
 
 
-async def test_a_plain_request_goes_on_as_it_came(monkeypatch):
+async def test_a_plain_request_is_forwarded_unchanged(monkeypatch):
     script = Script()
     path = "/services/bookings/a%2Fb/%7Ec//d?x=%20&x=+"
     sent = (
@@ -158,7 +159,9 @@
         (("Transfer-Encoding: chunked, gzip",), 400, "bad-request"),
     ],
 )
-async def test_refusals_have_one_shape(monkeypatch, headers, status, code):
+async def test_refusals_have_the_common_error_format(
+    monkeypatch, headers, status, code
+):
     script = Script()
     async with serving(monkeypatch, script) as port:
         got, head, body = await send(
@@ -171,8 +174,8 @@
     assert not script.calls
 
 
-async def test_a_body_that_never_ends_is_given_up_without_an_endpoint(monkeypatch):
-    """A caller's phone loses its network in the middle of an upload."""
+async def test_an_incomplete_body_times_out_and_reaches_no_endpoint(monkeypatch):
+    """Guard against waiting forever when a caller loses its network in an upload."""
     script = Script()
     entry = build_entry(body_seconds=0.2)
     head = f"POST /services/bookings/x HTTP/1.1\r\nHost: h\r\n{AUTHORISED}\r\n"
@@ -186,8 +189,8 @@
 @pytest.mark.parametrize(
     "sent", [b"", b"GET /v1/mod", b"GET /v1/models HTTP/1.1\r\nHost: h\r\n\r\n"]
 )
-async def test_an_idle_caller_is_closed(monkeypatch, sent):
-    """Thousands of half-open callers would use up the file descriptors."""
+async def test_an_idle_caller_connection_is_closed(monkeypatch, sent):
+    """Guard against running out of file descriptors through half-open connections."""
     entry = build_entry(idle_seconds=0.3)
     async with serving(monkeypatch, entry=entry) as port:
         answer = await send_raw(port, sent)
@@ -197,7 +200,7 @@
 @pytest.mark.parametrize(
     ("method", "status"), [("HEAD", 200), ("GET", 204), ("GET", 304)]
 )
-async def test_answers_without_a_body_stay_so(monkeypatch, method, status):
+async def test_answers_without_a_body_get_none_added(monkeypatch, method, status):
     headers = [("Content-Length", "77"), ("ETag", "x"), ("Content-Type", "text/plain")]
     script = Script(status, headers if method == "HEAD" else headers[1:2], chunks=())
     async with serving(monkeypatch, script) as port:
@@ -208,7 +211,7 @@
     assert "transfer-encoding" not in head.lower()
 
 
-async def test_an_endpoints_headers_come_back_once_each(monkeypatch):
+async def test_an_endpoints_headers_are_returned_once_each(monkeypatch):
     headers = [("Content-Type", "a/b"), ("Set-Cookie", "1"), ("Set-Cookie", "2")]
     script = Script(201, headers, chunks=(b"\x00\xff",))
     async with serving(monkeypatch, script) as port:
@@ -219,11 +222,13 @@
     assert "Fescuedrum-Outcome: answered" in head
 
 
-async def test_a_broken_stream_tells_why_and_never_looks_whole(monkeypatch):
-    """An endpoint dies in the middle of an advice that a club is reading.
+async def test_a_broken_stream_reports_the_reason_and_is_never_ended_as_complete(
+    monkeypatch,
+):
+    """Guard against a client taking half an answer for a complete one.
 
-    The status was sent long before; without a cut connection the club's program
-    would take half an advice for all of it.
+    The endpoint dies in the middle of a stream, after the status has been sent, so only
+    a connection closed without the last chunk shows that the answer is incomplete.
     """
     headers = [("Content-Type", "text/event-stream; charset=utf-8")]
     script = Script(200, headers, [b"data: one\n\n"], OutcomeUnknown("It was cut."))
@@ -238,8 +243,11 @@
     assert not body.endswith(b"0\r\n\r\n")
 
 
-async def test_a_broken_stream_over_http_1_0_ends_in_a_reset(monkeypatch):
-    """An old balancer speaks HTTP/1.0, in which a closed connection ends a body."""
+async def test_a_broken_stream_over_http_1_0_resets_the_connection(monkeypatch):
+    """Guard against an HTTP/1.0 client taking half an answer for a complete one.
+
+    With HTTP/1.0, as an old load balancer may use, a closed connection ends the body.
+    """
     headers = [("Content-Type", "text/event-stream")]
     script = Script(200, headers, [b"data: one\n\n"], OutcomeUnknown("It was cut."))
     head = f"POST /v1/completions HTTP/1.0\r\nHost: h\r\n{AUTHORISED}\r\n"
@@ -249,7 +257,7 @@
             await send_raw(port, head.encode() + COMPLETION)
 
 
-async def test_a_whole_stream_is_ended_properly(monkeypatch):
+async def test_a_complete_stream_ends_with_the_last_chunk(monkeypatch):
     script = Script(200, [("Content-Type", "text/event-stream")], [b"data: 1\n\n"])
     async with serving(monkeypatch, script) as port:
         _, _, body = await send(
@@ -259,7 +267,7 @@
 
 
 class Slow(Script):
-    """Answer only when told to, and keep what became of the work."""
+    """Answer only when released, and record how the run ended."""
 
     def __init__(self):
         super().__init__()
@@ -282,13 +290,13 @@
     ("path", "ending"),
     [("/v1/completions", "cancelled"), ("/services/bookings/x", "finished")],
 )
-async def test_a_caller_who_leaves_frees_only_what_may_be_cut(
+async def test_a_caller_who_leaves_cancels_only_an_idempotent_request(
     monkeypatch, path, ending
 ):
-    """A receptionist's phone drops its connection while an order is under way.
+    """Guard against a request that isn't idempotent being left half done.
 
-    The work for a reader who left is given up; a booking is not, or its repeat
-    would find half of it done.
+    A caller's connection drops while the request is running. An idempotent request is
+    cancelled; any other must run to its end, or its repeat would find it half done.
     """
     script = Slow()
     head = f"POST {path} HTTP/1.1\r\nHost: h\r\n{AUTHORISED}\r\n"
--- a/tests/unit/test_trace.py
+++ b/tests/unit/test_trace.py
@@ -1,4 +1,4 @@
-"""Check that operators can see what became of a request."""
+"""Test request traces, as operators see them."""
 
 import json
 
@@ -18,20 +18,20 @@
 PATH = "/services/bookings/x"
 
 
-def build_watched_entry(**settings):
+def build_entry_with_operator(**settings):
     salted = KeyHash("salt", hash_key("salt", "ada.secret"))
     return build_entry(operators=[Account("ada", Role.VIEWER, [salted])], **settings)
 
 
 class Attempts(Script):
-    """Make one refused and one answered attempt over links without a connection."""
+    """Make one refused and one answered attempt over unconnected links."""
 
     def __init__(self, entry):
         super().__init__()
         self.entry = entry
 
     async def run(self):
-        number = self.calls[-1].request_id
+        request_id = self.calls[-1].request_id
         for name, body in (
             ("agent-1", frames.Refusal(1, 1, "full")),
             ("agent-2", frames.End(1, 2, "answered", 2)),
@@ -39,7 +39,9 @@
             instance = Instance(name, "agent", "zone-2", "127.0.0.1", 1)
             link = Link(self.entry, instance)
             link.last_heartbeat = Heartbeat(load=LoadReport(3, 0, 8, True))
-            exchange = link.open(frames.Request(request_id=number, attempt=1))
+            exchange = link.send_request(
+                frames.Request(request_id=request_id, attempt=1)
+            )
             link.deliver(type(body)(1, 1, *list_rest(body)))
             await exchange.receive()
             exchange.close(finished=True)
@@ -50,12 +52,14 @@
     return [getattr(body, name) for name in body.__slots__[2:]]
 
 
-async def test_a_trace_tells_where_a_request_waited_and_why_it_went_there(monkeypatch):
-    entry = build_watched_entry()
+async def test_a_trace_shows_the_attempts_and_the_load_of_the_chosen_endpoint(
+    monkeypatch,
+):
+    entry = build_entry_with_operator()
     async with serving(monkeypatch, Attempts(entry), entry) as port:
         _, head, _ = await send(port, "POST", PATH, AUTHORISED)
-        number = head.split("Fescuedrum-Request-Id: ")[1].split("\r\n")[0]
-        path = f"/operators/requests/{number}"
+        request_id = head.split("Fescuedrum-Request-Id: ")[1].split("\r\n")[0]
+        path = f"/operators/requests/{request_id}"
         assert (await send(port, "GET", path, AUTHORISED))[0] == 401
         status, _, body = await send(port, "GET", path, OPERATOR)
         _, _, metrics = await send(port, "GET", "/metrics", OPERATOR)
@@ -76,12 +80,14 @@
     assert "answered (ok) after 2 attempts" in text
     assert b'attempts_total{result="refused"} 1.0' in metrics
     assert b'outcome="answered",service="bookings"} 1.0' in metrics
-    assert [each["request_id"] for each in json.loads(listed)["requests"]] == [number]
+    assert [each["request_id"] for each in json.loads(listed)["requests"]] == [
+        request_id
+    ]
 
 
-async def test_labels_do_not_grow_with_what_strangers_send(monkeypatch):
-    """A scanner asks for a thousand services; each must not be a time series."""
-    entry = build_watched_entry()
+async def test_metric_labels_do_not_grow_with_unknown_services_and_keys(monkeypatch):
+    """Guard against a time series for each unknown name that a scanner requests."""
+    entry = build_entry_with_operator()
     async with serving(monkeypatch, entry=entry) as port:
         for index in range(20):
             await send(port, "GET", f"/services/none-{index}/", AUTHORISED)
@@ -96,36 +102,36 @@
     assert sum(float(line.split()[-1]) for line in lines) == 40
 
 
-def fill(book, count, error=None, began=0.0):
+def fill(traces, count, error=None, began=0.0):
     for index in range(count):
-        trace = book.begin(f"{error}-{index}", began)
+        trace = traces.begin(f"{error}-{index}", began)
         trace.organisation = "club"
         if error:
             trace.fail(began + 1, error)
         else:
             trace.end(began + 1, "answered")
-        book.finish(trace)
+        traces.finish(trace)
 
 
-def test_requests_that_went_well_do_not_wash_out_one_that_went_wrong():
-    """An operator looks up a lost booking a minute after a club complained.
+def test_successful_requests_do_not_overwrite_the_trace_of_a_failed_one():
+    """Guard against losing the trace of a failed request before anyone looks it up.
 
-    The entry has answered thousands of others since then.
+    The entry answers thousands of other requests in the meantime.
     """
-    book = TraceBuffer(10, slow_seconds=5.0)
-    fill(book, 1, OutcomeUnknown())
-    (wrong,) = book.recent(10)
-    fill(book, 1000)
-    assert book.find(wrong.request_id) is wrong
-    assert len(book.plain) == 10
-    fill(book, 1000, Overloaded())
-    assert len(book.notable) == 10
-    assert not book.running
-
-
-def test_a_request_that_is_tried_without_end_keeps_a_bounded_trace():
+    traces = TraceBuffer(10, slow_seconds=5.0)
+    fill(traces, 1, OutcomeUnknown())
+    (failed,) = traces.recent(10)
+    fill(traces, 1000)
+    assert traces.find(failed.request_id) is failed
+    assert len(traces.ordinary) == 10
+    fill(traces, 1000, Overloaded())
+    assert len(traces.notable) == 10
+    assert not traces.running
+
+
+def test_an_endlessly_retried_request_keeps_a_bounded_trace():
     trace = TraceBuffer(10, 5.0).begin("r", 0.0)
     for _ in range(10_000):
-        trace.note(Step.SENT, 1.0)
+        trace.add_step(Step.SENT, 1.0)
     assert trace.attempts == 10_000
     assert len(trace.events) <= 100
