--- a/packages/fescuedrum-entry/src/fescuedrum_entry/connection/attempt.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/connection/attempt.py
@@ -89,7 +89,7 @@
 
 
 def describe_endpoint(link):
-    """Return the zone and the last reported load of a link's endpoint."""
+    """Return a link's zone, its unanswered requests and its last reported load."""
     same_zone = link.instance.zone == link.entry.settings.zone
     found = {
         "zone": link.instance.zone,
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/request/quota.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/request/quota.py
@@ -11,11 +11,11 @@
 class Quota:
     """Track each organisation's usage at this entry and enforce its limits."""
 
-    __slots__ = ("allowances", "entry")
+    __slots__ = ("entry", "usage")
 
     def __init__(self, entry):
         self.entry = entry
-        self.allowances = OrganisationUsage()
+        self.usage = OrganisationUsage()
 
     @contextlib.contextmanager
     def admit(self, call):
@@ -25,7 +25,7 @@
             # The organisation was removed after the call was parsed; no limits apply.
             yield
             return
-        exceeded = self.allowances.start_request(
+        exceeded = self.usage.start_request(
             call.organisation,
             organisation.limits,
             call.cost,
@@ -40,4 +40,4 @@
         try:
             yield
         finally:
-            self.allowances.end_request(call.organisation)
+            self.usage.end_request(call.organisation)
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/request/rows.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/request/rows.py
@@ -4,7 +4,7 @@
 
 
 class UnsharedRow:
-    """Hold the row of a request without a key in memory, unshared with others."""
+    """Hold in memory the row of a request without a key; no other entry claims it."""
 
     __slots__ = ("claim", "version")
 
