--- a/packages/fescuedrum/src/fescuedrum/wire/__init__.py
+++ b/packages/fescuedrum/src/fescuedrum/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Carry thrift frames between processes of fescuedrum."""
+"""Send thrift frames and datagrams between processes of fescuedrum."""
--- a/packages/fescuedrum/src/fescuedrum/wire/codec.py
+++ b/packages/fescuedrum/src/fescuedrum/wire/codec.py
@@ -9,15 +9,15 @@
 LENGTH_BYTES = 4
 MAXIMUM_FRAME_BYTES = 8 * 1024 * 1024
 
-# Without fallback=False a missing extension would go unseen and cost tenfold. A
-# protocol object holds no state between frames but its transport, and to build one
-# costs more than to encode a small frame; one of each kind serves the whole thread.
+# Without fallback=False a missing extension would go unnoticed and encoding would take
+# ten times as long. Between frames a protocol object has no state but its transport,
+# and creating one costs more than encoding a small frame, so a thread shares one each.
 ENCODER = TCompactProtocolAccelerated(TMemoryBuffer(), fallback=False)
 DECODER = TCompactProtocolAccelerated(TMemoryBuffer(), fallback=False)
 
 
 def encode(**body):
-    """Encode a frame with one body, its length in front."""
+    """Return an encoded frame with one body, prefixed with its length."""
     ENCODER.trans = TMemoryBuffer()
     Frame(**body).write(ENCODER)
     payload = ENCODER.trans.getvalue()
@@ -27,19 +27,19 @@
 
 
 def decode(payload):
-    """Decode one frame's payload; raise ProtocolError when it is malformed."""
+    """Return the frame in a payload; raise ProtocolError if it is malformed."""
     frame = Frame()
     try:
         DECODER.trans = TMemoryBuffer(payload)
         frame.read(DECODER)
-    # The extension raises many kinds on damaged input; all mean the same here.
+    # The extension raises many exception types for malformed input.
     except Exception as error:
         raise ProtocolError(f"A frame can't be decoded: {error!r}.") from error
     return frame
 
 
 def get_body(frame):
-    """Return the one body of a frame; None when its kind is not known here."""
+    """Return the body of a frame, or None if this release does not know its type."""
     for name in frame.__slots__:
         body = getattr(frame, name)
         if body is not None:
--- a/packages/fescuedrum/src/fescuedrum/wire/connection.py
+++ b/packages/fescuedrum/src/fescuedrum/wire/connection.py
@@ -10,21 +10,21 @@
 from fescuedrum.wire import codec
 
 READ_BYTES = 256 * 1024
-# A stranger must not make this process keep more than a hello's worth of bytes.
+# An unauthenticated peer must not make this process buffer more than a Hello.
 HANDSHAKE_FRAME_BYTES = 4 * 1024
 HANDSHAKE_SECONDS = 5.0
-# Above the high mark senders wait; the peer's kernel and ours hold some more.
+# Above this senders wait; the socket buffers of both sides hold some more.
 HIGH_WATER_BYTES = 1024 * 1024
 CLOSE_SECONDS = 5.0
-# Frames that can't wait (heartbeats, credit) still add up when a peer takes nothing.
+# Heartbeats and credit don't wait, so they accumulate when a peer does not read.
 MAXIMUM_UNSENT_BYTES = 32 * 1024 * 1024
 
 
 class FrameConnection:
-    """Own the two streams of a connection and batch what is sent in one loop turn.
+    """Send and receive frames on a connection, with one write per loop iteration.
 
-    What is queued leaves at the end of the same loop turn, so no frame is held for
-    longer than the turn lasts; under load one turn, and so one write, carries many.
+    Queued frames are written at the end of the same loop iteration, so none waits for
+    longer than that; under load one write carries many frames.
     """
 
     __slots__ = (
@@ -33,7 +33,7 @@
         "loop",
         "maximum_frame_bytes",
         "outgoing",
-        "partial",
+        "partial_frame",
         "queued_bytes",
         "reader",
         "received_bytes",
@@ -47,17 +47,17 @@
         self.writer.transport.set_write_buffer_limits(high=HIGH_WATER_BYTES)
         self.loop = asyncio.get_running_loop()
         self.outgoing = []
-        # Whether the peer was told that nothing more comes.
+        # Whether the sending side has been closed.
         self.finished = False
         self.queued_bytes = 0
         self.sent_bytes = 0
         self.received_bytes = 0
         self.incoming = collections.deque()
-        self.partial = bytearray()
+        self.partial_frame = bytearray()
         self.maximum_frame_bytes = codec.MAXIMUM_FRAME_BYTES
 
     def send(self, **body):
-        """Queue a frame; frames of one loop turn leave in one write."""
+        """Queue a frame; all frames of a loop iteration are sent in one write."""
         if not self.outgoing:
             self.loop.call_soon(self.flush)
         encoded = codec.encode(**body)
@@ -65,28 +65,29 @@
         self.queued_bytes += len(encoded)
 
     def flush(self):
+        """Write the queued frames; abort the connection if too much is unsent."""
         frames, self.outgoing = self.outgoing, []
         self.sent_bytes += self.queued_bytes
         self.queued_bytes = 0
         if not frames or self.finished or self.writer.is_closing():
             return
         self.writer.write(b"".join(frames))
-        # A peer that takes nothing would otherwise fill this process's memory.
+        # A peer that does not read would otherwise exhaust this process's memory.
         if self.unsent_bytes > MAXIMUM_UNSENT_BYTES:
             self.writer.transport.abort()
 
     @property
     def unsent_bytes(self):
-        """Count the bytes that are queued here and not yet in the kernel's hands."""
+        """Return how many bytes have not been passed to the kernel."""
         return self.queued_bytes + self.writer.transport.get_write_buffer_size()
 
     @property
     def congested(self):
-        """Tell whether large frames should wait or go another way."""
+        """Return whether large frames should wait or use another connection."""
         return self.unsent_bytes > HIGH_WATER_BYTES
 
     async def wait_until_writable(self):
-        """Return once the peer has taken enough of what was sent, or is gone."""
+        """Wait until the peer has read enough or the connection is closed."""
         while self.congested and not self.writer.is_closing():
             self.flush()
             try:
@@ -95,7 +96,7 @@
                 return
 
     async def handshake(self, side):
-        """Move the frames of a handshake; raise ProtocolError when it fails."""
+        """Return the peer's Hello after a handshake; raise ProtocolError on failure."""
         self.maximum_frame_bytes = HANDSHAKE_FRAME_BYTES
         try:
             async with asyncio.timeout(HANDSHAKE_SECONDS):
@@ -111,11 +112,12 @@
         return side.peer
 
     def send_all(self, bodies):
+        """Queue a frame for each of the bodies."""
         for body in bodies:
             self.send(**body)
 
     async def receive(self):
-        """Wait for the next frame; return None at the end of the connection."""
+        """Return the next frame, or None at the end of the connection."""
         while not self.incoming:
             try:
                 data = await self.reader.read(READ_BYTES)
@@ -124,12 +126,12 @@
             if not data:
                 return None
             self.received_bytes += len(data)
-            self.split(data)
+            self.split_frames(data)
         return codec.decode(self.incoming.popleft())
 
-    def split(self, data):
-        """Cut what came into whole frames and keep the rest."""
-        buffer = self.partial
+    def split_frames(self, data):
+        """Add received bytes, queue the complete frames and keep the remainder."""
+        buffer = self.partial_frame
         buffer += data
         position, size = 0, len(buffer)
         while size - position >= codec.LENGTH_BYTES:
@@ -144,40 +146,41 @@
         del buffer[:position]
 
     def finish(self):
-        """Tell the peer that nothing more comes, but for TLS, and go on reading.
+        """Close the sending side, except with TLS, and go on reading.
 
-        The failure: a process ends while its kernel still sends for it, the peer's next
-        frame finds nobody, and the kernel answers with a reset that drops the rest. The
-        peer closes when it has read all, so what it sends until then must be read.
+        If a process exits while its kernel is still sending, the peer's next frame is
+        answered with a reset, which discards the unsent bytes. The peer closes once it
+        has read everything, so what it sends until then must be read.
         """
         self.flush()
-        # With TLS the peer is told of nothing, and has to be answered to the end.
+        # TLS can't be half closed; there the peer's frames are answered to the end.
         if self.writer.can_write_eof() and not self.writer.is_closing():
             self.finished = True
             self.writer.write_eof()
 
     @property
     def may_lose_data(self):
-        """Tell whether the end of the process could lose something that was sent.
+        """Return whether exiting now could lose data that was sent.
 
-        TLS can't be half closed, and its own closing fails when a frame crosses it. It
-        has nothing to lose once the peer's kernel has all, which a reset leaves there.
+        TLS can't be half closed, and its closing fails when a frame arrives meanwhile.
+        With TLS nothing can be lost once the peer's kernel has received everything: a
+        reset does not discard it there.
         """
         if self.writer.can_write_eof():
             return not self.writer.is_closing()
-        return bool(self.unsent_bytes or undelivered_bytes(self.writer))
+        return bool(self.unsent_bytes or unacknowledged_bytes(self.writer))
 
     def close(self):
-        """Close when the peer has taken what was sent, or has had its time to."""
+        """Close once the peer has read what was sent, or after CLOSE_SECONDS."""
         self.flush()
         self.writer.close()
-        # A silent peer takes nothing, so the transport would wait for good and keep
-        # its buffer, and the process could not end.
+        # With a peer that does not read, the transport would keep its buffer for ever
+        # and the process could not exit.
         self.loop.call_later(CLOSE_SECONDS, self.writer.transport.abort)
 
 
-def undelivered_bytes(writer):
-    """Count the bytes in the kernel's hands that the peer's has not confirmed."""
+def unacknowledged_bytes(writer):
+    """Return how many bytes in the kernel the peer has not acknowledged."""
     sock = writer.get_extra_info("socket")
     if writer.is_closing() or sock.fileno() < 0:
         return 0
--- a/packages/fescuedrum/src/fescuedrum/wire/handshake.py
+++ b/packages/fescuedrum/src/fescuedrum/wire/handshake.py
@@ -1,17 +1,18 @@
-"""Prove to each other that both ends of a connection hold a peer key.
+"""Authenticate both ends of a connection by a shared peer key.
 
-The entry dials and the agent answers:
+The entry connects and the agent answers:
 
     entry -> Hello (identity, nonce, addressee)
-    agent -> Challenge (nonce)           nothing about the agent
+    agent -> Challenge (nonce)           no data about the agent
     entry -> Proof
-    agent -> Hello (identity), Proof     only after the entry's proof
+    agent -> Hello (identity), Proof     only after the entry's proof is valid
 
-A proof is an HMAC over all that was said before it and the role of the prover, so a
-recorded proof fits no other connection, no other pair of instances and not the other
-direction. The entry proves first: a stranger learns nothing and is closed.
+A proof is an HMAC over the transcript so far and the role of its sender, so a recorded
+proof is invalid on another connection, between other instances and in the other
+direction. The entry proves first: a peer without a key learns nothing and is
+disconnected.
 
-This module only decides; `fescuedrum.wire.connection` moves the frames.
+This module does no I/O; `fescuedrum.wire.connection` sends and receives the frames.
 """
 
 import hashlib
@@ -27,20 +28,20 @@
 NONCE_BYTES = 32
 ENTRY = "entry"
 AGENT = "agent"
-# What the connection must not repeat in another purpose of the same key.
+# Keeps these proofs apart from other uses of the same key.
 CONTEXT = b"fescuedrum-peer-proof-1"
 
 
 @dataclass(slots=True)
 class PeerKey:
-    """Hold one shared key of the fleet's processes."""
+    """Hold a key that the processes of a site share."""
 
-    id: str = setting(help="Name of the key, told in the clear.")
+    id: str = setting(help="Name of the key, sent unencrypted.")
     secret: str = setting(help="Random text of at least 32 characters.")
 
 
 class Keyring:
-    """Prove with the first key and accept each one; without keys accept anybody."""
+    """Sign with the first key and accept any; without keys accept every peer."""
 
     __slots__ = ("keys",)
 
@@ -48,17 +49,18 @@
         self.keys = list(keys)
 
     def find(self, key_id):
+        """Return the key with an id, or None."""
         return next((each for each in self.keys if each.id == key_id), None)
 
     def prove(self, prover, transcript, key_id=None):
-        """Return one side's proof, with the key that the other side used if given."""
+        """Return a proof, signed with the key of the given id if it is known."""
         if not self.keys:
             return frames.Proof(key_id="", mac=b"")
         key = self.find(key_id) or self.keys[0]
         return frames.Proof(key_id=key.id, mac=sign(key, prover, transcript))
 
     def accepts(self, proof, prover, transcript):
-        """Tell whether a proof was made with one of the keys."""
+        """Return whether a proof is valid under one of the keys."""
         if not self.keys:
             return True
         key = self.find(proof.key_id)
@@ -70,22 +72,23 @@
 
 
 def sign(key, prover, transcript):
+    """Return the HMAC of a transcript and the role of its prover."""
     message = pack([CONTEXT, prover.encode(), *transcript])
     return hmac.new(key.secret.encode(), message, hashlib.sha256).digest()
 
 
 def pack(parts):
-    """Join parts so that no two lists of parts give the same bytes."""
+    """Join parts with length prefixes, so that different lists give different bytes."""
     return b"".join(len(part).to_bytes(4, "big") + part for part in parts)
 
 
 def as_bytes(value):
-    # A peer may have sent any bytes; thrift hands text back where they are text.
+    """Return a binary field as bytes; thrift decodes it to text if it is text."""
     return value.encode() if isinstance(value, str) else value
 
 
 def identity(hello):
-    """Return the parts of a Hello that a proof binds."""
+    """Return the fields of a Hello that a proof covers."""
     fields = (
         hello.role,
         hello.instance,
@@ -101,7 +104,7 @@
 
 
 def negotiate(peer):
-    """Return the protocol to speak; raise IncompatiblePeerError when there is none."""
+    """Return the common protocol; raise IncompatiblePeerError if there is none."""
     newest, oldest = peer.protocol or 1, peer.minimum_protocol or 1
     if newest < MINIMUM_PROTOCOL or oldest > PROTOCOL:
         raise IncompatiblePeerError(
@@ -112,7 +115,7 @@
 
 
 class InitiatorHandshake:
-    """Decide the handshake of the side that dials a process of the expected role."""
+    """Run the handshake of the side that connects to a process of a given role."""
 
     __slots__ = ("expected", "hello", "keyring", "peer", "protocol", "transcript")
 
@@ -129,10 +132,11 @@
         self.protocol = None
 
     def open(self):
+        """Return the first frames to send."""
         return [{"hello": self.hello}]
 
     def receive(self, body):
-        """Take a frame and return those to send; `done` turns true at the end."""
+        """Handle a frame's body and return the frames to send."""
         match body:
             case frames.Challenge() if self.protocol is None:
                 self.protocol = negotiate(body)
@@ -154,13 +158,14 @@
         raise PeerRefusedError(f"The peer sent {type(body).__name__} in the handshake.")
 
     def check_role(self, hello):
+        """Raise PeerRefusedError unless the peer has the expected role."""
         if hello.role != self.expected:
             raise PeerRefusedError(
                 f"{hello.instance!r} is {hello.role!r}, not {self.expected!r}."
             )
 
     def check_addressee(self, hello):
-        # An address that was given to another instance must not pass for the old one.
+        """Raise PeerRefusedError if the address now belongs to another instance."""
         if hello.instance != self.hello.addressee:
             raise PeerRefusedError(
                 f"{hello.instance!r} answers at the address"
@@ -169,11 +174,12 @@
 
     @property
     def done(self):
+        """Return whether the peer's proof was accepted."""
         return self.transcript is None
 
 
 class ResponderHandshake:
-    """Decide the handshake of the side that was dialled."""
+    """Run the handshake of the side that accepts the connection."""
 
     __slots__ = ("done", "hello", "keyring", "nonce", "peer", "protocol", "transcript")
 
@@ -190,10 +196,11 @@
         self.done = False
 
     def open(self):
+        """Return the first frames to send: none, as the other side begins."""
         return []
 
     def receive(self, body):
-        """Take a frame and return those to send; `done` turns true at the end."""
+        """Handle a frame's body and return the frames to send."""
         match body:
             case frames.Hello(role="entry") if self.peer is None:
                 return self.challenge(body)
@@ -202,6 +209,7 @@
         raise PeerRefusedError(f"The peer sent {type(body).__name__} in the handshake.")
 
     def challenge(self, hello):
+        """Return the Challenge that answers the peer's Hello."""
         check_nonce(hello.nonce)
         self.peer = hello
         self.transcript = [*identity(hello), self.nonce]
@@ -209,22 +217,24 @@
         return [{"challenge": reply}]
 
     def answer(self, proof):
-        # Only now: the challenge has told the entry why, if they are incompatible.
+        """Check the peer's proof and return this side's Hello and proof."""
+        # Checked only now, so that an incompatible entry learns why from the challenge.
         self.protocol = negotiate(self.peer)
         if not self.keyring.accepts(proof, ENTRY, self.transcript):
             raise PeerRefusedError(
                 f"The entry's proof with key {proof.key_id!r} is wrong."
             )
         if self.peer.addressee != self.hello.instance:
-            raise PeerRefusedError(f"The entry means {self.peer.addressee!r}.")
+            raise PeerRefusedError(f"The entry addressed {self.peer.addressee!r}.")
         self.done = True
         self.transcript += identity(self.hello)
-        # The entry may not hold this side's newest key yet.
+        # The entry may not have this side's newest key yet.
         made = self.keyring.prove(AGENT, self.transcript, proof.key_id)
         return [{"hello": self.hello}, {"proof": made}]
 
 
 def check_nonce(nonce):
+    """Return a nonce as bytes; raise PeerRefusedError if it is not valid."""
     value = as_bytes(nonce or b"")
     if len(value) != NONCE_BYTES:
         raise PeerRefusedError("The peer sent no nonce.")
--- a/packages/fescuedrum/src/fescuedrum/wire/peers.py
+++ b/packages/fescuedrum/src/fescuedrum/wire/peers.py
@@ -1,4 +1,4 @@
-"""Open and accept connections between processes as the settings say."""
+"""Open and accept connections between processes with their keys and TLS settings."""
 
 import asyncio
 import secrets
@@ -12,13 +12,13 @@
     ResponderHandshake,
 )
 
-# Above the 390 nodes of the largest site that is planned for, and below the 1,024
-# files that a process may have open on most systems.
+# Above the 390 nodes of the largest planned site, and below the 1,024 file descriptors
+# that most systems allow a process.
 MAXIMUM_ACCEPTED = 768
 
 
 class Peers:
-    """Hold a process's peer keys and TLS contexts."""
+    """Connect to and listen for peers with a process's keys and TLS contexts."""
 
     __slots__ = (
         "accepted",
@@ -38,6 +38,7 @@
         self.accepted = 0
 
     def initiate_handshake(self, addressee, expected=AGENT):
+        """Return the handshake of the side that connects to the addressee."""
         nonce = secrets.token_bytes(NONCE_BYTES)
         hello = self.make_hello()
         return InitiatorHandshake(
@@ -45,11 +46,12 @@
         )
 
     def accept_handshake(self):
+        """Return the handshake of the side that accepts a connection."""
         nonce = secrets.token_bytes(NONCE_BYTES)
         return ResponderHandshake(self.keyring, self.make_hello(), nonce=nonce)
 
     async def connect(self, host, port):
-        """Return (reader, writer); raise OSError when there is no connection."""
+        """Return (reader, writer) of a new connection; raise OSError if it fails."""
         if self.files is None:
             return await asyncio.open_connection(host, port)
         if self.client_context is None:
@@ -65,9 +67,9 @@
         if self.files is not None:
             context = self.certificates.server_context(self.files, verify_peer=True)
 
-        async def admit(reader, writer):
-            # A stranger has five seconds for each connection that proves nothing. If
-            # it opens thousands, the process runs out of files and can serve nobody.
+        async def accept(reader, writer):
+            # A peer has five seconds to authenticate. If somebody opens thousands of
+            # connections, the process runs out of file descriptors and can't serve.
             if self.accepted >= MAXIMUM_ACCEPTED:
                 writer.transport.abort()
                 return
@@ -77,4 +79,4 @@
             finally:
                 self.accepted -= 1
 
-        return await asyncio.start_server(admit, host, port, ssl=context)
+        return await asyncio.start_server(accept, host, port, ssl=context)
--- a/tests/unit/test_codec.py
+++ b/tests/unit/test_codec.py
@@ -1,4 +1,4 @@
-"""Check the frames' encoding, and that damaged input ends in one kind of error."""
+"""Check that frames are encoded and that malformed ones raise ProtocolError only."""
 
 import contextlib
 
@@ -9,7 +9,7 @@
 from fescuedrum.wire import codec
 
 
-def test_a_request_survives_the_wire():
+def test_a_request_is_unchanged_by_encoding_and_decoding():
     encoded = codec.encode(request=build_request(body=b"\x00\xff"))
     frame = codec.decode(encoded[codec.LENGTH_BYTES :])
     assert codec.get_body(frame) == build_request(body=b"\x00\xff")
--- a/tests/unit/test_connection.py
+++ b/tests/unit/test_connection.py
@@ -1,4 +1,4 @@
-"""Check merging, back-pressure and tolerance of frames on real sockets."""
+"""Check batching, back-pressure and compatibility of frames on real sockets."""
 
 import asyncio
 
@@ -17,7 +17,7 @@
 WINDOW = 4 * 1024
 
 
-async def test_frames_of_one_turn_leave_in_one_write_and_none_later():
+async def test_frames_of_one_loop_iteration_are_sent_at_its_end_in_one_write():
     async with connected() as (near, far):
         writes = []
         write = near.writer.write
@@ -30,7 +30,7 @@
     assert got == list(range(100))
 
 
-async def test_a_frame_that_comes_in_pieces_is_put_together():
+async def test_a_frame_received_in_pieces_is_reassembled():
     async with connected() as (near, far):
         encoded = codec.encode(chunk=frames.Chunk(1, 1, 0, b"x" * 300_000))
         for position in range(0, len(encoded), 70_001):
@@ -40,10 +40,11 @@
     assert len(frame.chunk.data) == 300_000
 
 
-async def test_senders_wait_while_the_peer_takes_nothing():
-    """A zone's network stalls while endpoints go on producing.
+async def test_senders_wait_while_the_peer_does_not_read():
+    """Guard against an agent that runs out of memory.
 
-    Without a bound the agent would keep every byte and run out of memory.
+    It comes about when a zone's network stalls while endpoints go on producing answers
+    and the agent buffers them without a limit.
     """
     async with connected() as (near, far):
         sent = 0
@@ -68,10 +69,10 @@
         task.cancel()
 
 
-async def test_closing_does_not_wait_for_a_silent_peer_for_good(monkeypatch):
-    """Something between two zones lost the connection; neither end hears of it.
+async def test_closing_does_not_wait_for_ever_for_a_silent_peer(monkeypatch):
+    """Guard against a closed connection that keeps its unsent bytes for ever.
 
-    What is unsent can't leave any more, and the closed connection would keep it.
+    It comes about when the network drops a connection and neither end is notified.
     """
     monkeypatch.setattr(connection, "CLOSE_SECONDS", 0.05)
     async with connected() as (near, _):
@@ -85,8 +86,8 @@
                 await asyncio.sleep(0.05)
 
 
-class Peer:
-    """Stand for a session that has only its connection."""
+class ConnectionSession:
+    """Replace a session; it only sends frames on its connection."""
 
     def __init__(self, connection):
         self.connection = connection
@@ -96,11 +97,11 @@
         self.connection.send(**{kind: body[kind](number, attempt, **fields)})
 
 
-async def test_a_slow_caller_holds_up_only_its_own_answer():
-    """Two callers share a connection; one reads nothing of a long answer.
+async def test_a_slow_caller_delays_only_its_own_answer():
+    """Guard against a slow caller that delays another one on the same connection.
 
-    With credit for the connection as a whole its bytes would fill it, and the other
-    caller's short answer would wait behind them.
+    With credit for the whole connection instead of each answer, the unread bytes of a
+    long answer would fill it, and a short answer would wait behind them.
     """
     async with connected() as (near, far):
         relays = {}
@@ -110,7 +111,7 @@
             answer.append(b"x" * size)
             answer.finish(Outcome.ANSWERED)
             request = frames.Request(number=number, attempt=1, window=WINDOW)
-            relays[number] = Relay(Peer(near), request, answer)
+            relays[number] = Relay(ConnectionSession(near), request, answer)
         tasks = [asyncio.create_task(relay.run()) for relay in relays.values()]
         received = {1: 0, 2: 0}
         while True:
@@ -127,8 +128,8 @@
     assert received == {1: WINDOW, 2: 200_000}
 
 
-def write_strange_member(protocol):
-    """Write a union member and fields that no release knows yet."""
+def write_unknown_member(protocol):
+    """Write a union member with fields that this release does not know."""
     protocol.writeFieldBegin("strange", TType.STRUCT, 59)
     protocol.writeStructBegin("Strange")
     protocol.writeFieldBegin("names", TType.LIST, 1)
@@ -142,17 +143,17 @@
     protocol.writeFieldEnd()
 
 
-def test_a_newer_peers_unknown_member_is_skipped():
+def test_an_unknown_member_of_a_newer_peer_is_skipped():
     buffer = TMemoryBuffer()
     protocol = TCompactProtocolAccelerated(buffer, fallback=False)
     protocol.writeStructBegin("Frame")
-    write_strange_member(protocol)
+    write_unknown_member(protocol)
     protocol.writeFieldStop()
     protocol.writeStructEnd()
     assert codec.get_body(codec.decode(buffer.getvalue())) is None
 
 
-def test_a_newer_peers_unknown_fields_are_skipped():
+def test_unknown_fields_of_a_newer_peer_are_skipped():
     buffer = TMemoryBuffer()
     protocol = TCompactProtocolAccelerated(buffer, fallback=False)
     protocol.writeStructBegin("Frame")
@@ -161,7 +162,7 @@
     protocol.writeFieldBegin("number", TType.I64, 1)
     protocol.writeI64(12)
     protocol.writeFieldEnd()
-    write_strange_member(protocol)
+    write_unknown_member(protocol)
     protocol.writeFieldStop()
     protocol.writeStructEnd()
     protocol.writeFieldEnd()
@@ -170,10 +171,11 @@
     assert codec.get_body(codec.decode(buffer.getvalue())) == frames.Cancel(number=12)
 
 
-async def test_a_finished_connection_is_read_on_and_sends_no_more():
-    """A process that leaves answers a late question on a connection it has finished.
+async def test_a_finished_connection_still_reads_and_sends_nothing():
+    """Guard against a write on a connection whose sending side is closed.
 
-    The write raises an error in the loop, where no one sees it.
+    It comes about when a stopping process answers a late frame; the error would be
+    raised in the loop and go unnoticed.
     """
     errors = []
     loop = asyncio.get_running_loop()
--- a/tests/unit/test_handshake.py
+++ b/tests/unit/test_handshake.py
@@ -1,4 +1,4 @@
-"""Check that peers prove themselves, and that strangers get nothing."""
+"""Check that peers authenticate and that others learn nothing."""
 
 import asyncio
 
@@ -14,13 +14,13 @@
 OLD, NEW = build_key("old"), build_key("new")
 
 
-def shake(entry, agent):
-    """Carry frames between the two sides to the end."""
-    waiting = entry.open()
-    while waiting:
-        for target in (agent, entry):
-            waiting = [
-                out for body in waiting for out in target.receive(*body.values())
+def run_handshake(entry, agent):
+    """Pass frames between the two sides until none is left."""
+    pending = entry.open()
+    while pending:
+        for receiver in (agent, entry):
+            pending = [
+                out for body in pending for out in receiver.receive(*body.values())
             ]
     return entry, agent
 
@@ -36,12 +36,12 @@
     ],
 )
 def test_rotation_keeps_two_keys_valid_at_once(entry_keys, agent_keys):
-    """Operators change the fleet's key instance by instance while it serves.
+    """Guard against refused connections while operators replace the shared key.
 
-    First every process learns the new key, then each proves with it, then the old
-    one goes; at each step processes of two steps meet.
+    First each process gets the new key as a second one, then as its first, then the old
+    key is removed; during a step, processes before and after it connect to each other.
     """
-    entry, agent = shake(
+    entry, agent = run_handshake(
         build_entry_side(Keyring(entry_keys)), build_agent_side(Keyring(agent_keys))
     )
     assert (entry.peer.instance, agent.peer.instance) == ("agent-1", "entry-1")
@@ -49,7 +49,7 @@
     assert agent.done
 
 
-def test_a_stranger_learns_nothing_of_the_agent():
+def test_a_peer_without_the_key_learns_nothing_about_the_agent():
     agent = build_agent_side(Keyring([NEW]))
     entry = build_entry_side(Keyring([OLD]))
     (challenge,) = agent.receive(entry.hello)
@@ -64,13 +64,13 @@
     entry = build_entry_side(Keyring([NEW]))
     agent = build_agent_side(Keyring([]))
     with pytest.raises(PeerRefusedError):
-        shake(entry, agent)
+        run_handshake(entry, agent)
 
 
-def test_a_recorded_proof_fits_no_other_connection():
-    """Somebody records an entry's first frames and sends them again later.
+def test_a_recorded_proof_is_invalid_on_another_connection():
+    """Guard against a replay of an entry's recorded frames.
 
-    The agent's nonce is another then, so the recorded proof is wrong.
+    The agent's nonce differs on each connection, so the recorded proof is invalid.
     """
     keyring = Keyring([NEW])
     entry, agent = build_entry_side(keyring), build_agent_side(keyring)
@@ -92,10 +92,10 @@
     keyring = Keyring([NEW])
     entry = build_entry_side(keyring, addressee="agent-2")
     with pytest.raises(PeerRefusedError):
-        shake(entry, build_agent_side(keyring))
+        run_handshake(entry, build_agent_side(keyring))
 
 
-def test_peers_without_a_common_protocol_say_so():
+def test_peers_without_a_common_protocol_are_refused():
     entry = build_entry_side(Keyring([NEW]))
     with pytest.raises(IncompatiblePeerError, match="protocols 7 to 9"):
         entry.receive(frames.Challenge(9, 7, b"a" * 32))
@@ -110,8 +110,8 @@
     assert negotiate(frames.Challenge(newest, oldest)) == spoken
 
 
-async def test_strangers_cannot_use_up_a_processes_files(monkeypatch):
-    """Somebody opens thousands of connections to an agent and sends nothing."""
+async def test_unauthenticated_peers_cannot_use_up_file_descriptors(monkeypatch):
+    """Guard against running out of file descriptors by idle unauthenticated peers."""
     monkeypatch.setattr(peers, "MAXIMUM_ACCEPTED", 2)
     listener = peers.Peers([NEW], None, frames.Hello)
 
@@ -143,7 +143,7 @@
         | st.none()
     )
 )
-def test_no_frames_without_the_key_finish_a_handshake(bodies):
+def test_no_frames_without_the_key_complete_a_handshake(bodies):
     for side in (build_agent_side(Keyring([NEW])), build_entry_side(Keyring([NEW]))):
         try:
             for body in bodies:
@@ -153,7 +153,7 @@
         assert not side.done
 
 
-async def test_a_stranger_over_tcp_gets_a_challenge_and_a_close():
+async def test_a_peer_without_the_key_is_disconnected_after_the_challenge():
     async with connected() as (near, far):
         agent = asyncio.create_task(far.handshake(build_agent_side(Keyring([NEW]))))
         with pytest.raises(PeerRefusedError):
@@ -169,7 +169,7 @@
     connection.close()
 
 
-async def test_a_stranger_cannot_make_an_agent_keep_a_large_frame():
+async def test_an_unauthenticated_peer_cannot_send_a_large_frame():
     async with connected() as (near, far):
         near.send(hello=frames.Hello(role="entry", nonce=b"n" * 100_000))
         with pytest.raises(ProtocolError, match="over the limit"):
