--- a/packages/fescuedrum/src/fescuedrum/checks.py
+++ b/packages/fescuedrum/src/fescuedrum/checks.py
@@ -1,11 +1,11 @@
-"""Describe what a check of settings or of the configuration found."""
+"""Define the findings that checks of settings and of the configuration return."""
 
 import enum
 from dataclasses import dataclass
 
 
 class Level(enum.IntEnum):
-    """Order findings by weight; an error stops what is being checked."""
+    """Order findings by severity; an error rejects what is checked."""
 
     WARNING = 30
     ERROR = 40
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Finding:
-    """Hold one finding: a stable id, the field's path, what is wrong, the remedy."""
+    """Hold a finding: severity, stable id, the field's path, message and remedy."""
 
     level: Level
     id: str
@@ -26,12 +26,15 @@
 
 
 def error(id, path, message, hint):
+    """Return a finding that rejects what is checked."""
     return Finding(Level.ERROR, id, path, message, hint)
 
 
 def warning(id, path, message, hint):
+    """Return a finding that is only reported."""
     return Finding(Level.WARNING, id, path, message, hint)
 
 
 def has_errors(findings):
+    """Return whether one of the findings is an error."""
     return any(finding.level >= Level.ERROR for finding in findings)
--- a/packages/fescuedrum/src/fescuedrum/exceptions.py
+++ b/packages/fescuedrum/src/fescuedrum/exceptions.py
@@ -1,29 +1,29 @@
-"""Define the error kinds; each message names the remedy."""
+"""Define the exceptions; each has a message that names the remedy."""
 
 from fescuedrum.outcomes import Outcome
 
 
 class FescuedrumError(Exception):
-    """Carry a stable code, the outcome and the HTTP status a caller is told."""
+    """Hold the stable code, outcome and HTTP status that a caller receives."""
 
     code = "internal"
     status = 500
     outcome = Outcome.UNKNOWN
     remedy = "Report the request's id to the operators."
 
-    # Whether the caller's connection can't be read any further.
+    # Whether the connection must be closed because part of the request is unread.
     closes_connection = False
 
     def __init__(self, detail="", *, retry_after=None, field=None):
         super().__init__(f"{detail} {self.remedy}".strip())
         self.detail = detail
         self.retry_after = retry_after
-        # Field of the body, or header, that is at fault.
+        # Body field or header that caused the error.
         self.field = field
 
 
 class BadRequest(FescuedrumError):  # noqa: N818 - the HTTP term
-    """Refuse input that no endpoint should see."""
+    """Refuse a request that is not sent to any endpoint."""
 
     code = "bad-request"
     status = 400
@@ -57,7 +57,7 @@
 
 
 class BodyTooSlow(BadRequest):
-    """Refuse a body that does not come within the entry's limit of time."""
+    """Refuse a body that does not arrive within the entry's time limit."""
 
     code = "body-too-slow"
     status = 408
@@ -66,7 +66,7 @@
 
 
 class HeadersTooLarge(BadRequest):
-    """Refuse a head with too many headers, or one too long."""
+    """Refuse a request with too many or too long headers."""
 
     code = "headers-too-large"
     status = 431
@@ -75,7 +75,7 @@
 
 
 class UnknownRoute(BadRequest):
-    """Refuse a path that is none of the callers' interface."""
+    """Refuse a path that is not part of the callers' interface."""
 
     code = "unknown-route"
     status = 404
@@ -83,7 +83,7 @@
 
 
 class UnknownRequest(BadRequest):
-    """Tell an operator that an entry holds no trace of a request."""
+    """Report to an operator that an entry has no trace of a request."""
 
     code = "unknown-request"
     status = 404
@@ -91,7 +91,7 @@
 
 
 class UnknownClaim(BadRequest):
-    """Tell an operator that the table holds no claim under a key."""
+    """Report to an operator that the table has no claim under a key."""
 
     code = "unknown-claim"
     status = 404
@@ -129,7 +129,7 @@
 
 
 class ProcessStopping(Unavailable):
-    """Refuse work that the end of this process might cut; it was not run."""
+    """Refuse work that this process's stop might interrupt; it was not run."""
 
 
 class GroupDown(Unavailable):
@@ -148,7 +148,7 @@
 
 
 class OutcomeUnknown(FescuedrumError):  # noqa: N818 - the outcome's name
-    """Tell the caller that the request may have run."""
+    """Report to the caller that the request may have run."""
 
     code = "unknown"
     status = 502
@@ -157,7 +157,7 @@
 
 
 class AnswerTooLate(OutcomeUnknown):
-    """Tell the caller that an idempotent request was running at its deadline."""
+    """Report that an idempotent request was still running at its deadline."""
 
     code = "answer-too-late"
     status = 504
@@ -165,28 +165,28 @@
 
 
 class OutcomeUnknownUnkeyed(OutcomeUnknown):
-    """Tell the caller that a request without a key may have run."""
+    """Report that a request without a key may have run."""
 
     code = "unknown-unkeyed"
     remedy = "Look at the endpoint's own records; send an Idempotency-Key next time."
 
 
 class AnswerLost(OutcomeUnknown):
-    """Tell the caller that an endpoint got the request and its answer is lost."""
+    """Report that an endpoint received the request and its answer was lost."""
 
     code = "answer-lost"
     remedy = "It may have run: look at the endpoint's own records before you repeat it."
 
 
 class AnswerOverdue(AnswerLost):
-    """Tell the caller that the request was at an endpoint when its time was over."""
+    """Report that an endpoint had the request at its deadline."""
 
     code = "answer-overdue"
     status = 504
 
 
 class KeyNotChecked(Overloaded):
-    """Refuse a keyed request whose key the platform's table could not show."""
+    """Refuse a keyed request whose key can't be looked up in the platform's table."""
 
     code = "key-not-checked"
     remedy = (
@@ -196,7 +196,7 @@
 
 
 class KeyReused(BadRequest):
-    """Refuse a key that stands for a request with another method, path or body."""
+    """Refuse a key that was used for a request with another method, path or body."""
 
     code = "key-reused"
     status = 409
@@ -204,7 +204,7 @@
 
 
 class EndpointFailed(FescuedrumError):  # noqa: N818 - the field's term
-    """Tell the caller that the endpoint ran the request and failed."""
+    """Report that the endpoint ran the request and failed."""
 
     code = "endpoint-failed"
     status = 502
@@ -221,14 +221,14 @@
 
 
 class HistoryLost(StoreUnavailable):
-    """Report that the store can't tell what changed after a version."""
+    """Report that the store no longer has the changes after a version."""
 
     code = "history-lost"
     remedy = "Read the whole table and follow the changes from there."
 
 
-class RowNotUnderstood(FescuedrumError):  # noqa: N818 - tells a state, not a fault
-    """Report a row of the platform that is not of the shape that is known."""
+class RowNotUnderstood(FescuedrumError):  # noqa: N818 - a state, not a fault
+    """Report a row of the platform with a missing or malformed field."""
 
     code = "row-not-understood"
     remedy = "Correct the named field of the row; until then it is left out."
@@ -258,7 +258,7 @@
 
 
 class FormRefused(BadRequest):
-    """Refuse a form that was not made for the session that sends it."""
+    """Refuse a form that was not created for the session that sends it."""
 
     code = "form-refused"
     status = 403
@@ -266,7 +266,7 @@
 
 
 class TooManySignIns(BadRequest):
-    """Refuse an address that failed to sign in too often."""
+    """Refuse an address with too many failed sign-ins."""
 
     code = "too-many-sign-ins"
     status = 429
@@ -274,7 +274,7 @@
 
 
 class ChangeInvalid(BadRequest):
-    """Refuse a change whose document has faults; nothing was accepted."""
+    """Refuse a change whose document is invalid; nothing was accepted."""
 
     code = "change-invalid"
     status = 422
@@ -286,7 +286,7 @@
 
 
 class ChangeRaced(BadRequest):
-    """Refuse a change that began from a version no longer newest."""
+    """Refuse a change that is based on a version that is not the newest."""
 
     code = "change-raced"
     status = 409
@@ -299,8 +299,8 @@
         self.theirs = theirs
 
 
-class ChangeUnsettled(FescuedrumError):  # noqa: N818 - tells a state, not a fault
-    """Report that the store gave no answer: the change may be accepted or not."""
+class ChangeUnsettled(FescuedrumError):  # noqa: N818 - a state, not a fault
+    """Report that the store gave no answer, so the change may have been accepted."""
 
     code = "change-unsettled"
     status = 503
@@ -308,14 +308,14 @@
 
 
 class PeerRefusedError(ProtocolError):
-    """Refuse a peer that does not prove a key, or is not the one that was meant."""
+    """Refuse a peer that proves no key or is not the addressed instance."""
 
     code = "peer-refused"
     remedy = "Give both processes a common key in peer_keys and check their addresses."
 
 
 class IncompatiblePeerError(ProtocolError):
-    """Refuse a peer whose protocols and ours have none in common."""
+    """Refuse a peer that has no protocol version in common with this process."""
 
     code = "incompatible-peer"
     remedy = "Upgrade the older process to a release that speaks a common protocol."
--- a/packages/fescuedrum/src/fescuedrum/faults.py
+++ b/packages/fescuedrum/src/fescuedrum/faults.py
@@ -1,4 +1,4 @@
-"""Stop a process dead at a named step of the protocol, for tests of crashes."""
+"""Kill a process at a chosen step of the protocol, for crash tests."""
 
 import enum
 import os
@@ -6,7 +6,7 @@
 
 
 class ProtocolStep(enum.StrEnum):
-    """Name every step between which a crash makes a difference."""
+    """Name the protocol steps at which a process can be made to crash."""
 
     ENTRY_BEFORE_CLAIM = "entry-before-claim"
     ENTRY_CLAIMED = "entry-claimed"
@@ -25,7 +25,7 @@
 
 
 class FaultPoint:
-    """Kill this process when it reaches the step that its settings name."""
+    """Kill this process at the step that its settings name, if any."""
 
     __slots__ = ("step",)
 
@@ -33,5 +33,6 @@
         self.step = ProtocolStep(step) if step else None
 
     def crash_if_set(self, step):
+        """Kill the process with SIGKILL if this is the configured step."""
         if step is self.step:
             os.kill(os.getpid(), signal.SIGKILL)
--- a/packages/fescuedrum/src/fescuedrum/headers.py
+++ b/packages/fescuedrum/src/fescuedrum/headers.py
@@ -1,7 +1,7 @@
-"""Choose which HTTP headers go on from one connection to the next."""
+"""Select the HTTP headers that are forwarded to the next hop."""
 
-# They describe one connection, not the message (RFC 9110, section 7.6.1).
-HOP_HEADERS = frozenset(
+# Hop-by-hop headers describe a connection, not the message (RFC 9110, section 7.6.1).
+HOP_BY_HOP_HEADERS = frozenset(
     (
         "connection",
         "keep-alive",
@@ -17,11 +17,12 @@
 
 
 def end_to_end_headers(headers, *, without=frozenset()):
-    """Return the (name, value) pairs of a message that its next reader should get.
+    """Return the (name, value) pairs of the headers to forward.
 
-    The Connection header may name more headers that are meant for one hop only.
+    Hop-by-hop headers are left out, as are those that the Connection header names and
+    those in without, in lower case.
     """
-    named = {
+    hop_by_hop = {
         name.strip().lower()
         for value in headers.getall("Connection", ())
         for name in value.split(",")
@@ -29,14 +30,14 @@
     return [
         (name, value)
         for name, value in headers.items()
-        if (folded := name.lower()) not in HOP_HEADERS
-        and folded not in named
-        and folded not in without
+        if (lowered := name.lower()) not in HOP_BY_HOP_HEADERS
+        and lowered not in hop_by_hop
+        and lowered not in without
     ]
 
 
 def is_valid_utf8(value):
-    """Tell whether a header's value was valid UTF-8 and so can go on as it came."""
+    """Return whether a header's value is valid UTF-8 and can be forwarded unchanged."""
     if value.isascii():
         return True
     try:
@@ -47,5 +48,5 @@
 
 
 def replace_invalid_utf8(value):
-    """Replace the bytes of a value that were not valid UTF-8."""
+    """Return a value in which bytes that were not valid UTF-8 are replaced."""
     return value if is_valid_utf8(value) else value.encode(errors="replace").decode()
--- a/packages/fescuedrum/src/fescuedrum/logs.py
+++ b/packages/fescuedrum/src/fescuedrum/logs.py
@@ -1,4 +1,4 @@
-"""Write logs as JSON lines."""
+"""Write logs as JSON lines at a limited rate."""
 
 import contextvars
 import datetime
@@ -10,10 +10,10 @@
 
 request_context = contextvars.ContextVar("request_context", default=None)
 
-# Fields of the process that change while it runs, each with a function that reads it.
+# Maps log fields of the process that change while it runs to functions that read them.
 live_fields = {}
 
-# A burst of requests is told of in full before lines are left out.
+# Lines of this many seconds at the full rate may be written at once.
 BURST_SECONDS = 2.0
 
 STANDARD_ATTRIBUTES = frozenset(
@@ -22,16 +22,16 @@
 
 
 class JsonLinesFormatter(logging.Formatter):
-    """Format a record as one JSON object with the process's fixed fields."""
+    """Format a record as a JSON object with the process's fixed fields."""
 
     def __init__(self, fixed):
         super().__init__()
         self.fixed = fixed
 
     def format(self, record):
-        moment = datetime.datetime.fromtimestamp(record.created, datetime.UTC)
+        created = datetime.datetime.fromtimestamp(record.created, datetime.UTC)
         line = {
-            "time": moment.isoformat(timespec="milliseconds"),
+            "time": created.isoformat(timespec="milliseconds"),
             "level": record.levelname.lower(),
             "logger": record.name,
             "message": record.getMessage(),
@@ -47,63 +47,65 @@
         return json.dumps(line, default=str)
 
 
-class LineBudget:
-    """Allow so many lines a second on average, and a burst of two seconds' worth."""
+class LineRateLimit:
+    """Limit lines per second by a token bucket."""
 
-    __slots__ = ("at", "left", "rate")
+    __slots__ = ("filled_at", "rate", "tokens")
 
     def __init__(self, rate):
         self.rate = rate
-        self.left = self.burst
-        self.at = 0.0
+        self.tokens = self.burst
+        self.filled_at = 0.0
 
     @property
     def burst(self):
+        """Return how many lines may be written at once."""
         return BURST_SECONDS * self.rate
 
-    def take(self, now):
-        """Take one line from the budget; False when there is none."""
-        self.left = min(self.left + (now - self.at) * self.rate, self.burst)
-        self.at = now
-        if self.left < 1:
+    def try_acquire(self, now):
+        """Take a token for a line; return False if there is none."""
+        self.tokens = min(self.tokens + (now - self.filled_at) * self.rate, self.burst)
+        self.filled_at = now
+        if self.tokens < 1:
             return False
-        self.left -= 1
+        self.tokens -= 1
         return True
 
 
-class BoundedHandler(logging.Handler):
-    """Write lines to a descriptor without ever waiting for its reader.
+class RateLimitedHandler(logging.Handler):
+    """Write lines to a descriptor at a limited rate without waiting for its reader.
 
     Under load a line for each request would cost as much as the request, and a reader
-    that stands still would hold up the whole process in a write. Routine lines, marked
-    routine=True, have a budget of their own, so that they leave room for changes of
-    what the process believes and for requests that fail. What is left out is counted,
-    and the count logged.
+    that does not read would block the whole process in a write. Records with
+    routine=True have a rate limit of their own, so that they don't displace lines on
+    changes of state and on failed requests. Dropped lines are counted, and the count
+    is logged.
     """
 
     def __init__(self, descriptor, rate, clock=time.monotonic):
         super().__init__()
         self.descriptor = descriptor
         self.clock = clock
-        self.routine = LineBudget(rate)
-        self.others = LineBudget(rate)
-        # Bytes of a line that the reader's pipe had no room for.
-        self.rest = b""
-        self.left_out = 0
-        self.total_left_out = 0
+        self.routine = LineRateLimit(rate)
+        self.other = LineRateLimit(rate)
+        # Bytes of a line that did not fit into the reader's pipe.
+        self.unwritten = b""
+        self.dropped = 0
+        self.total_dropped = 0
 
     def emit(self, record):
-        budget = self.routine if getattr(record, "routine", False) else self.others
-        if not budget.take(self.clock()) or not self.flush_rest():
-            self.leave_out()
+        limit = self.routine if getattr(record, "routine", False) else self.other
+        if not limit.try_acquire(self.clock()) or not self.flush_unwritten():
+            self.count_dropped()
             return
-        if self.left_out:
-            self.tell_left_out(record)
+        if self.dropped:
+            self.log_dropped(record)
         self.write(self.format(record))
 
-    def tell_left_out(self, record):
-        count, self.left_out = self.left_out, 0
-        told = logging.makeLogRecord(
+    def log_dropped(self, record):
+        """Write a line with the number of lines dropped since the last such line."""
+        count, self.dropped = self.dropped, 0
+        summary = logging.makeLogRecord(
             {
                 "name": record.name,
                 "levelname": "WARNING",
@@ -113,36 +115,38 @@
                 "lines": count,
             }
         )
-        self.write(self.format(told))
+        self.write(self.format(summary))
 
-    def leave_out(self):
-        self.left_out += 1
-        self.total_left_out += 1
+    def count_dropped(self):
+        """Count a dropped line."""
+        self.dropped += 1
+        self.total_dropped += 1
 
     def write(self, line):
-        self.rest += line.encode(errors="replace") + b"\n"
-        self.flush_rest()
+        """Write a line, or as much of it as fits."""
+        self.unwritten += line.encode(errors="replace") + b"\n"
+        self.flush_unwritten()
 
-    def flush_rest(self):
-        """Write what is left of the last line; tell whether all of it is gone."""
+    def flush_unwritten(self):
+        """Write the rest of the last line; return whether it is complete."""
         try:
-            while self.rest:
-                written = os.write(self.descriptor, self.rest)
-                self.rest = self.rest[written:]
+            while self.unwritten:
+                written = os.write(self.descriptor, self.unwritten)
+                self.unwritten = self.unwritten[written:]
         except BlockingIOError:
             return False
         except OSError:
-            # The reader is gone for good; there is nobody to tell.
-            self.rest = b""
+            # The reader has closed its end, so the error can't be logged.
+            self.unwritten = b""
             return False
         return True
 
 
 def configure_rate_limited_logging(level, rate, **fixed):
-    """Send records to standard output as JSON lines, so many a second at most."""
+    """Log to standard output as JSON lines, at most `rate` a second on average."""
     descriptor = sys.stdout.fileno()
     os.set_blocking(descriptor, False)
-    handler = BoundedHandler(descriptor, rate)
+    handler = RateLimitedHandler(descriptor, rate)
     handler.setFormatter(JsonLinesFormatter(fixed))
     logging.basicConfig(level=level, handlers=[handler], force=True)
     logging.getLogger("aiohttp.access").setLevel(logging.WARNING)
--- a/packages/fescuedrum/src/fescuedrum/management.py
+++ b/packages/fescuedrum/src/fescuedrum/management.py
@@ -1,4 +1,4 @@
-"""Find and run the commands of a binary: one module each in a package."""
+"""Find and run a program's commands, each a module of a package."""
 
 import argparse
 import importlib
@@ -19,15 +19,16 @@
 
 
 def load_commands(package):
-    """Return the Command object of each module in a package of commands."""
-    found = {}
+    """Return the Command object of each module of a package, by command name."""
+    commands = {}
     for module in pkgutil.iter_modules(package.__path__):
         name = f"{package.__name__}.{module.name}"
-        found[module.name] = importlib.import_module(name).Command()
-    return found
+        commands[module.name] = importlib.import_module(name).Command()
+    return commands
 
 
-def build_parser(found, prog, description):
+def build_parser(commands, prog, description):
+    """Return the argument parser with a subparser for each command."""
     parser = argparse.ArgumentParser(
         prog=prog,
         description=description,
@@ -36,7 +37,7 @@
     )
     parser.add_argument("--version", action="version", version=__version__)
     subparsers = parser.add_subparsers(dest="command", required=True)
-    for name, command in found.items():
+    for name, command in commands.items():
         subparser = subparsers.add_parser(
             name,
             help=command.help,
@@ -49,14 +50,14 @@
 
 
 def execute(package, *, prog, description, argv=None):
-    """Run one command and return its exit code.
+    """Run the command that the arguments name and return its exit code.
 
-    Only a command that reloads its settings holds the signal to do so.
+    SIGHUP is deferred only for a command that reloads its settings.
     """
     defer_reload()
-    found = load_commands(package)
-    arguments = build_parser(found, prog, description).parse_args(argv)
-    command = found[arguments.command]
+    commands = load_commands(package)
+    arguments = build_parser(commands, prog, description).parse_args(argv)
+    command = commands[arguments.command]
     if not getattr(command, "reloads", False):
         restore_reload_default()
     return command.handle(arguments)
--- a/packages/fescuedrum/src/fescuedrum/metrics.py
+++ b/packages/fescuedrum/src/fescuedrum/metrics.py
@@ -1,4 +1,4 @@
-"""Declare metrics once, for the registry and for their reference page."""
+"""Declare metrics for the registry and for their reference page."""
 
 import asyncio
 import logging
@@ -22,22 +22,22 @@
 
 logger = logging.getLogger(__name__)
 
-# From a cached lookup to a long generation; the middle is close to the time to the
-# first token that operators watch (1.6 s) and to the default deadline (30 s).
+# From a cached lookup to a long generation, with bounds at the time to the first token
+# that operators watch (1.6 s) and at the default deadline (30 s).
 SECONDS_BUCKETS = (
     *(0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5),
     *(1.0, 1.6, 2.5, 5.0, 10.0, 30.0, 60.0, 300.0),
 )
 LOOP_DELAY_BUCKETS = (0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.5, 1.0)
 LOOP_PROBE_SECONDS = 0.25
-# A request that waits for so long is late, whatever else becomes of it.
+# A delay of the event loop from which the process is logged as stalled.
 STALLED_SECONDS = 0.2
 OTHER = "other"
 
 
 @dataclass(slots=True, frozen=True)
 class Label:
-    """Describe a label and what bounds the number of its values."""
+    """Describe a label and the values that it can have."""
 
     name: str
     bound: str
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Description:
-    """Hold what the reference page says of one metric."""
+    """Hold what the reference page says about a metric."""
 
     name: str
     kind: str
@@ -54,7 +54,7 @@
 
 
 class MetricCatalogue:
-    """Own one process's registry and the descriptions of what is in it."""
+    """Hold a process's metric registry and the descriptions of its metrics."""
 
     __slots__ = ("descriptions", "registry")
 
@@ -70,22 +70,25 @@
         return self.declare(Counter, name, help, labels)
 
     def gauge(self, name, help, *labels):
+        """Declare a gauge."""
         return self.declare(Gauge, name, help, labels)
 
     def callback_gauge(self, name, help, read):
-        """Declare a gauge that is read only when somebody asks for the metrics."""
+        """Declare a gauge whose value is read when the metrics are scraped."""
         self.gauge(name, help).set_function(read)
 
     def histogram(self, name, help, *labels, buckets=SECONDS_BUCKETS):
+        """Declare a histogram."""
         return self.declare(Histogram, name, help, labels, buckets=buckets)
 
     def declare(self, kind, name, help, labels, **options):
+        """Register a metric of a prometheus_client class and describe it."""
         self.descriptions.append(Description(name, kind.__name__.lower(), help, labels))
         names = [label.name for label in labels]
         return kind(name, help, names, registry=self.registry, **options)
 
     def expose(self):
-        """Return the metrics as text, and the text's content type."""
+        """Return the metrics as text, and its content type."""
         return generate_latest(self.registry), CONTENT_TYPE_LATEST
 
 
@@ -96,16 +99,16 @@
 
 
 def known_or_other(value, allowed):
-    """Return the value, or `other` when it is not one of the allowed ones.
+    """Return the value, or `other` if it is not one of the allowed values.
 
-    What a peer or a caller sends must never choose a label's value: each new value
-    is a new time series here and in the store that keeps them.
+    A peer or caller must not be able to choose a label's value, since each new value
+    creates a time series here and in the metrics store.
     """
     return value if value in allowed else OTHER
 
 
 async def measure_loop_delay(histogram):
-    """Measure how late the loop runs a timer: what every request waits for, too."""
+    """Measure how late the event loop runs timers, a delay that every request has."""
     loop = asyncio.get_running_loop()
     while True:
         due = loop.time() + LOOP_PROBE_SECONDS
@@ -127,6 +130,7 @@
 
 
 def describe_row(description):
+    """Return the table row of a metric."""
     labels = "; ".join(
         f"`{label.name}` ({label.bound})" for label in description.labels
     )
--- a/packages/fescuedrum/src/fescuedrum/once.py
+++ b/packages/fescuedrum/src/fescuedrum/once.py
@@ -1,17 +1,17 @@
-"""Keep the HTTP client from sending a request a second time by itself."""
+"""Prevent the HTTP client from resending a request by itself."""
 
 import aiohttp
 
 
-class SentBefore(aiohttp.ClientError):
-    """Stop the client's own second try of a request."""
+class ResendRefused(aiohttp.ClientError):
+    """Raised to end a request that the client would send a second time."""
 
     def __init__(self):
         super().__init__("the endpoint closed the connection; it was not sent again")
 
 
 class SendOnceGuard:
-    """Count how often one request was about to be sent."""
+    """Count the connections that one request asks for; allow only the first."""
 
     __slots__ = ("connections",)
 
@@ -19,27 +19,28 @@
         self.connections = 0
 
     def connect(self):
+        """Count a connection; raise ResendRefused at the second."""
         self.connections += 1
         if self.connections > 1:
-            raise SentBefore
+            raise ResendRefused
 
 
 def open_session(*, keep_connections, socket_factory=None):
     """Return an HTTP client session that sends each request at most once.
 
-    A kept connection may be closed by the endpoint just as a request leaves on it.
-    Nobody can tell then whether it ran, so what may not be repeated gets a connection
-    of its own.
+    An endpoint may close a kept connection while a request is sent on it. Whether it
+    ran is then unknown, so a request that may not be repeated needs a connection of
+    its own (keep_connections=False).
 
-    When an endpoint closes a connection without an answer, the client sends PUT,
-    DELETE and GET again on another, although the first may have run: a booking would
-    be recorded twice, and retries would escape their budget. The client asks for a
-    connection before each sending, so the second asking ends the request instead. Give
-    each request its Sending as trace_request_ctx.
+    When an endpoint closes a connection without an answer, aiohttp sends PUT, DELETE
+    and GET again on another one, although the first may have run: a booking would be
+    recorded twice, and retries would exceed their budget. The client asks for a
+    connection before each attempt, so the second request for one ends the attempt.
+    Pass a new SendOnceGuard as trace_request_ctx of each request.
     """
     tracing = aiohttp.TraceConfig()
-    tracing.on_connection_create_start.append(note_connection)
-    tracing.on_connection_reuseconn.append(note_connection)
+    tracing.on_connection_create_start.append(count_connection)
+    tracing.on_connection_reuseconn.append(count_connection)
     return aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(
             limit=0,
@@ -51,5 +52,5 @@
     )
 
 
-async def note_connection(_session, context, _params):
+async def count_connection(_session, context, _params):
     context.trace_request_ctx.connect()
--- a/packages/fescuedrum/src/fescuedrum/outcomes.py
+++ b/packages/fescuedrum/src/fescuedrum/outcomes.py
@@ -1,4 +1,4 @@
-"""Name what can become of a request, as its caller is told."""
+"""Define the outcomes of a request that are reported to its caller."""
 
 import enum
 
@@ -7,12 +7,12 @@
 
 
 class Outcome(enum.StrEnum):
-    """Say what is known of a request; the set is closed."""
+    """Say whether a request ran; no other values are added."""
 
     ANSWERED = "answered"
-    # Provably never started: safe to repeat.
+    # It certainly never started and is safe to repeat.
     NOT_RUN = "not-run"
-    # May have run; the caller can ask again under the same key.
+    # It may have run; the caller can repeat it with the same key.
     UNKNOWN = "unknown"
-    # Ran, and the endpoint said that it failed.
+    # It ran, and the endpoint reported a failure.
     FAILED = "failed"
--- a/packages/fescuedrum/src/fescuedrum/process.py
+++ b/packages/fescuedrum/src/fescuedrum/process.py
@@ -1,4 +1,4 @@
-"""Share what every process does at its start and its end."""
+"""Load settings, run and stop a process, and handle its signals."""
 
 import asyncio
 import json
@@ -19,7 +19,7 @@
 
 logger = logging.getLogger(__name__)
 
-# Tells a process from the one that ran at the same address before it.
+# Distinguishes a process from earlier ones at the same address.
 INCARNATION_BITS = 62
 
 EXIT_OK = 0
@@ -75,7 +75,7 @@
 
 
 def run_check(settings):
-    """Tell that settings are valid, with the warnings that there are."""
+    """Print that the settings are valid, after their warnings."""
     for finding in settings.check():
         print(f"warning: {finding}", file=sys.stderr)
     print("The settings are complete and valid.")
@@ -83,7 +83,7 @@
 
 
 def stop_event():
-    """Return an event that SIGTERM and SIGINT set."""
+    """Return an event that SIGTERM or SIGINT sets."""
     event = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -92,7 +92,7 @@
 
 
 def on_reload(*callbacks):
-    """Call each callback on SIGHUP, and at once if it came while loading."""
+    """Call each callback on SIGHUP, and now if SIGHUP came while loading."""
 
     def reload():
         for callback in callbacks:
@@ -105,24 +105,24 @@
 
 
 def stop_on_failure(tasks, stop):
-    """Stop the process when one of its lasting tasks fails.
+    """Set the stop event when one of the long-running tasks fails.
 
-    The failure: a task ends on an error that nobody foresaw, and the process goes on
-    with yesterday's members or document, and looks healthy. Stopped, it drains and is
-    replaced by a process that has all its tasks.
+    Otherwise, after an unexpected error in a task, the process would go on with stale
+    members or a stale document and look healthy. When stopped it drains, and a process
+    with all its tasks replaces it.
     """
 
-    def ended(task):
+    def stop_if_failed(task):
         if not task.cancelled() and task.exception() is not None:
             log_event(logger, TaskFailed(), error=task.exception())
             stop.set()
 
     for task in tasks:
-        task.add_done_callback(ended)
+        task.add_done_callback(stop_if_failed)
 
 
 async def cancel(tasks):
-    """Cancel tasks and wait for their end."""
+    """Cancel tasks and wait until they have ended."""
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
--- a/packages/fescuedrum/src/fescuedrum/serving.py
+++ b/packages/fescuedrum/src/fescuedrum/serving.py
@@ -1,4 +1,4 @@
-"""Know what callers' connections hold, and end them without cutting an answer."""
+"""Track callers' connections and close them without cutting an answer."""
 
 import asyncio
 import contextlib
@@ -12,39 +12,40 @@
 
 logger = logging.getLogger(__name__)
 
-# The id under which a request's log lines stand.
+# Key of the request's id, which its log lines carry.
 REQUEST_ID = web.RequestKey("request_id", str)
-# Closing at once would reset the connection and lose the refusal on its way; this
-# long the rest of a refused body is read and dropped.
+# How long the rest of a refused body is read and dropped. Closing at once would reset
+# the connection, and the caller could lose the refusal.
 LINGERING_SECONDS = 1.0
-# A caller that has just connected, or was just answered, may be sending already.
+# A caller that has just connected or got an answer may already be sending a request.
 MINIMUM_IDLE_SECONDS = 1.0
-# The same at the very end of a stop, where such a caller would be refused.
-LAST_REST_SECONDS = 0.2
-# For what was written on a TLS connection to leave, once it is closed.
-AGREEMENT_SECONDS = 1.0
-# Pause between looks at whether a stop may end: little against its margin of 0.6 s.
+# The same at the end of a stop, when such a request would be refused.
+FINAL_IDLE_SECONDS = 0.2
+# Time for a closed TLS connection to send what was written on it.
+TLS_CLOSE_SECONDS = 1.0
+# Interval between checks whether a stop may end; its margin is 0.6 s.
 STOP_POLL_SECONDS = 0.05
 
 
-class StopDeadlinePassed(TimeoutError):  # noqa: N818 - tells a state, not a fault
-    """Tell that the time of a stop was over before what was waited for."""
+class StopDeadlinePassed(TimeoutError):  # noqa: N818 - a state, not a fault
+    """Signal that the time for a stop ended before the awaited body was complete."""
 
 
 class TrackedConnection(RequestHandler):
-    """Know whether a caller's connection has a request in hand, or rests."""
+    """Hold a caller's connection that knows whether it is idle."""
 
-    __slots__ = ("answered", "closed_at", "rests_since", "server", "tls")
+    __slots__ = ("closed_at", "idle_since", "responses_sent", "server", "tls")
 
     def __init__(self, server, **options):
         super().__init__(server, **options)
         self.server = server
-        # Answers that this connection has carried.
-        self.answered = 0
-        # Loop time of the end of the last answer, or of the connection's beginning. Not
-        # of the last byte: a head that comes byte by byte would hold up a stop.
-        self.rests_since = self._loop.time()
-        # Loop time at which it was closed while it rested.
+        # Number of responses sent on this connection.
+        self.responses_sent = 0
+        # Loop time at which the last response ended or the connection was created. The
+        # time of the last byte would not do: a request head that arrives byte by byte
+        # would delay a stop.
+        self.idle_since = self._loop.time()
+        # Loop time at which the connection was closed while idle.
         self.closed_at = None
         self.tls = False
 
@@ -52,43 +53,43 @@
         self.tls = transport.get_extra_info("sslcontext") is not None
         super().connection_made(transport)
 
-    def close_rested(self, now):
-        """Close a connection that rests; what was written leaves first."""
+    def force_close_idle(self, now):
+        """Close the idle connection after sending what was written."""
         self.closed_at = now
         self.force_close()
 
-    def is_left(self, now):
-        """Tell whether nothing but the peer's agreement to the close is missing.
+    def awaits_tls_close(self, now):
+        """Return whether only the peer's TLS close confirmation is outstanding.
 
-        TLS waits half a minute for it, and a program that does not read never gives it:
-        one such connection would hold up a stop for all of its time.
+        TLS waits half a minute for it, and a peer that does not read never sends it:
+        one such connection would delay a stop until its deadline.
         """
         if not self.tls or self.closed_at is None:
             return False
-        return now - self.closed_at >= AGREEMENT_SECONDS
+        return now - self.closed_at >= TLS_CLOSE_SECONDS
 
     @property
     def is_idle(self):
-        """Tell whether the head of a request is waited for.
+        """Return whether the connection is waiting for the head of a request.
 
-        The library knows it and tells nobody. A handler that has begun shows a request
-        later, and one that was read a moment before would be closed unanswered.
+        aiohttp has no public attribute for this. Checking for a running handler would
+        be too late: a request that was just read would be closed without an answer.
         """
         waiter = self._waiter
         return waiter is not None and not waiter.done()
 
     @property
     def ends_after_response(self):
-        """Tell whether the present answer is the last one here.
+        """Return whether the connection closes after the current response.
 
-        A kept connection would bring its caller's next request to a process that stops.
-        A request that was sent before the answer to the one before it has been read
-        already, and would be closed without a word.
+        On a kept connection the caller would send its next request to a process that
+        stops. A pipelined request has already been read, so closing the connection
+        before it is handled would leave it without an answer.
         """
-        return self.server.leaving and not self._messages
+        return self.server.is_draining and not self._messages
 
     async def finish_response(self, request, resp, start_time):
-        """Write an answer to its end; the last one ends the connection."""
+        """Finish a response; close the connection after the last one."""
         if self.ends_after_response:
             resp.force_close()
         try:
@@ -97,95 +98,97 @@
             log_event(logger, AnswerNotDelivered(request.get(REQUEST_ID, "")))
             raise
         finally:
-            self.answered += 1
-            self.rests_since = self._loop.time()
+            self.responses_sent += 1
+            self.idle_since = self._loop.time()
 
 
 class TrackingServer(web.Server):
-    """Make a connection of a kind for each caller, and end those that rest."""
+    """Create a connection of a class for each caller and close idle connections."""
 
     def __init__(self, handle, kind, **options):
         super().__init__(handle, **options)
         self.kind = kind
-        # Loop time at which a stop gives up bodies that are not whole.
-        self.ends_at = None
-        # Limits of the bodies that are being read.
-        self.limits = set()
+        # Loop time until which a stop waits for incomplete bodies; None before a stop.
+        self.body_deadline = None
+        # Timeouts of the bodies that are being read.
+        self.body_timeouts = set()
 
     def __call__(self):
         return self.kind(self, loop=self._loop, **self._kwargs)
 
     @property
-    def leaving(self):
-        return self.ends_at is not None
-
-    def start_draining(self, ends_at):
-        """End each connection with its answer, and wait for bodies until that time."""
-        self.ends_at = ends_at
-        for limit in self.limits:
-            # One that is over in this very turn can't be changed, and raises an error.
-            if not limit.expired():
-                limit.reschedule(min(limit.when(), ends_at))
+    def is_draining(self):
+        """Return whether a stop has begun."""
+        return self.body_deadline is not None
+
+    def start_draining(self, body_deadline):
+        """Close connections after their response; wait for bodies until a deadline."""
+        self.body_deadline = body_deadline
+        for timeout in self.body_timeouts:
+            # Rescheduling one that expired in this loop iteration raises an error.
+            if not timeout.expired():
+                timeout.reschedule(min(timeout.when(), body_deadline))
 
     @contextlib.asynccontextmanager
     async def body_timeout(self, seconds):
-        """Bound a body's reading: TimeoutError, or StopDeadlinePassed at a stop's end.
+        """Limit the time to read a body.
 
-        The failure: a body is not whole when the process ends, and its caller gets no
-        word, although its request never ran.
+        Raise TimeoutError, or StopDeadlinePassed at the end of a stop. Without the
+        latter, a body that is incomplete when the process exits would leave its caller
+        without an answer, although the request never ran.
         """
         when = asyncio.get_running_loop().time() + seconds
-        if self.leaving:
-            when = min(when, self.ends_at)
-        limit = asyncio.timeout_at(when)
+        if self.is_draining:
+            when = min(when, self.body_deadline)
+        timeout = asyncio.timeout_at(when)
         try:
-            async with limit:
-                self.limits.add(limit)
+            async with timeout:
+                self.body_timeouts.add(timeout)
                 yield
         except TimeoutError:
-            if limit.when() == self.ends_at:
+            if timeout.when() == self.body_deadline:
                 raise StopDeadlinePassed from None
             raise
         finally:
-            self.limits.discard(limit)
+            self.body_timeouts.discard(timeout)
 
     def count_active(self):
-        """Count connections with a request that is read, runs, or is being answered."""
+        """Count connections with a request that is being read, run or answered."""
         return sum(
             not connection.is_idle and connection.closed_at is None
             for connection in self.connections
         )
 
-    def held_connections(self, now):
-        """Return the connections for which a stop has to wait."""
-        return {each for each in self.connections if not each.is_left(now)}
+    def open_connections(self, now):
+        """Return the connections that a stop has to wait for."""
+        return {each for each in self.connections if not each.awaits_tls_close(now)}
 
-    def close_idle(self, now, rest_seconds=MINIMUM_IDLE_SECONDS):
-        """Close connections without a request in hand, after so much rest."""
+    def close_idle(self, now, idle_seconds=MINIMUM_IDLE_SECONDS):
+        """Close connections that have been idle for at least idle_seconds."""
         for connection in self.connections:
-            if connection.is_idle and now - connection.rests_since >= rest_seconds:
-                connection.close_rested(now)
+            if connection.is_idle and now - connection.idle_since >= idle_seconds:
+                connection.force_close_idle(now)
 
 
 def log_taken_while_stopping(plan, request_id, deadline, connection):
-    """Log that a stopping process takes a request, with what decided it."""
+    """Log that a stopping process accepts a request, and the times that allow it."""
     now = asyncio.get_running_loop().time()
     event = TakenWhileStopping(
         request=request_id,
         since_signal=round(now - plan.began, 4),
         left=round(plan.latest - now, 4),
         may_last=round(deadline - now, 4),
-        kept=connection.answered > 0,
+        kept=connection.responses_sent > 0,
     )
     log_event(logger, event)
 
 
 async def wait_until_drained(plan, server, count_running):
-    """Wait until a stop may end.
+    """Wait until the stop plan lets the stop end, and close the plan.
 
-    Once the balancer has noticed, only kept connections still bring requests here.
-    They are closed while they rest: a caller that finds its connection closed dials
-    another process, and one that does not would be refused here first.
+    Once the balancer has noticed the stop, requests come only on kept connections.
+    These are closed while idle: a caller whose connection is closed connects to another
+    process, while one whose connection stays open would be refused here first.
     """
     loop = asyncio.get_running_loop()
     while not plan.may_end(loop.time(), count_running()):
@@ -196,29 +199,30 @@
 
 
 async def wait_for_delivery(plan, server, runner):
-    """Wait until callers have their answers, or the time of the stop is over.
+    """Wait until callers have received their answers or the stop's time is over.
 
-    A request has ended when its answer is written, but a caller on a narrow link
-    reads on: what the process still holds of it would be lost with the process, and
-    the caller would have half an answer. A connection is gone once all has left.
-    Whoever comes meanwhile is refused, which tells more than a closed port.
+    A request ends when its answer is written, but a caller on a slow link is still
+    reading: bytes that the process has buffered would be lost when it exits, and the
+    caller would have half an answer. A connection closes once everything is sent.
+    New requests are refused meanwhile, which says more than a closed port.
     """
     first = set(server.connections)
-    await until_gone(plan, server, first.intersection)
+    await wait_until_closed(plan, server, first.intersection)
     for site in list(runner.sites):
         await site.stop()
-    await until_gone(plan, server, set)
+    await wait_until_closed(plan, server, set)
 
 
-async def until_gone(plan, server, among):
-    """Close what rests until among(held connections) is empty, or the time is over.
+async def wait_until_closed(plan, server, select):
+    """Close idle connections until none of the selected ones is open or time is up.
 
-    The first look comes a moment later: a connection that the kernel has taken shows
-    at the server in the next turns of the loop, and would be dropped unanswered.
+    select returns those of the given connections to wait for. The first check comes
+    after a pause: a connection that the kernel has accepted reaches the server some
+    loop iterations later, and would otherwise be dropped without an answer.
     """
     loop = asyncio.get_running_loop()
     while not plan.is_over(loop.time()):
         await asyncio.sleep(STOP_POLL_SECONDS)
-        server.close_idle(loop.time(), LAST_REST_SECONDS)
-        if not among(server.held_connections(loop.time())):
+        server.close_idle(loop.time(), FINAL_IDLE_SECONDS)
+        if not select(server.open_connections(loop.time())):
             return
--- a/packages/fescuedrum/src/fescuedrum/signals.py
+++ b/packages/fescuedrum/src/fescuedrum/signals.py
@@ -1,6 +1,6 @@
-"""Hold signals that come while a program is still loading.
+"""Defer signals that arrive while a program is still loading.
 
-This module imports next to nothing, so that it can be used before all others.
+It imports only small standard modules, so that it can be used before all others.
 """
 
 import os
@@ -9,14 +9,14 @@
 
 
 class DeferredReload:
-    """Remember that a reload was asked for before anyone could do it."""
+    """Record that a reload was requested before the process could reload."""
 
     __slots__ = ("requested",)
 
     def __init__(self):
         self.requested = False
 
-    def take(self, *_):
+    def record(self, *_):
         self.requested = True
 
 
@@ -24,29 +24,32 @@
 
 
 def defer_reload():
-    """Keep the signal to reload for later.
+    """Record SIGHUP instead of letting it end the process.
 
-    Loading the libraries takes some tenths of a second. Without a handler the signal
-    ends the process in that time, and the platform sees one that fails by itself.
+    Importing the libraries takes some tenths of a second. Without a handler, SIGHUP
+    ends the process in that time, and the platform takes it for a crash.
     """
-    if not may_handle_signals():
+    if not can_handle_signals():
         return
-    signal.signal(signal.SIGHUP, deferred_reload.take)
+    signal.signal(signal.SIGHUP, deferred_reload.record)
 
 
 def restore_reload_default():
-    """Let the signal end the process, as the terminal that closes means it to."""
-    if not may_handle_signals():
+    """Let SIGHUP end the process again, as a closing terminal expects.
+
+    A signal that was deferred is sent again.
+    """
+    if not can_handle_signals():
         return
     signal.signal(signal.SIGHUP, signal.SIG_DFL)
     if deferred_reload.requested:
         os.kill(os.getpid(), signal.SIGHUP)
 
 
-def may_handle_signals():
-    """Tell whether this thread may set handlers.
+def can_handle_signals():
+    """Return whether this thread may set signal handlers.
 
-    Only the main thread may, and setting one elsewhere raises ValueError. A command
-    that runs in another thread is a guest in a program that handles its own signals.
+    Only the main thread may; elsewhere it raises ValueError. A command that runs in
+    another thread is part of a program that handles signals itself.
     """
     return threading.current_thread() is threading.main_thread()
--- a/packages/fescuedrum/src/fescuedrum/tls.py
+++ b/packages/fescuedrum/src/fescuedrum/tls.py
@@ -1,4 +1,4 @@
-"""Build TLS contexts from files and load renewed certificates without a restart."""
+"""Build TLS contexts from files and reload renewed certificates without a restart."""
 
 import asyncio
 import logging
@@ -12,7 +12,7 @@
 
 logger = logging.getLogger(__name__)
 
-# Certificates are renewed days before they end; a minute late is no matter.
+# Certificates are renewed days before they expire, so a minute's delay is harmless.
 CHECK_SECONDS = 60.0
 
 
@@ -31,12 +31,13 @@
 
     @property
     def paths(self):
+        """Return the paths that are set."""
         return [path for path in (self.certificate, self.key, self.authority) if path]
 
 
 @dataclass(slots=True)
-class Loaded:
-    """Hold a context, its files and their times of change when they were read."""
+class LoadedContext:
+    """Hold a context, its files and their modification times at loading."""
 
     context: ssl.SSLContext
     files: TlsFiles
@@ -44,37 +45,38 @@
 
 
 class Certificates:
-    """Own the contexts of one process and reload their files when they change."""
+    """Hold a process's TLS contexts and reload their files when they change."""
 
-    __slots__ = ("changed", "loaded")
+    __slots__ = ("changed", "contexts")
 
     def __init__(self):
-        self.loaded = []
+        self.contexts = []
         self.changed = asyncio.Event()
 
     def server_context(self, files, *, verify_peer=False):
-        """Return the context of a listener; raise OSError when a file is unfit."""
+        """Return the context of a listener; raise OSError if a file can't be loaded."""
         context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
         if verify_peer:
             context.verify_mode = ssl.CERT_REQUIRED
         return self.add(context, files)
 
     def client_context(self, files):
-        """Return the context of the side that dials; it checks the server's name."""
+        """Return the context of a client, which verifies the server's name."""
         return self.add(ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT), files)
 
     def add(self, context, files):
+        """Load files into a context and reload them when they change."""
         context.minimum_version = ssl.TLSVersion.TLSv1_2
         load(context, files)
-        self.loaded.append(Loaded(context, files, change_times(files)))
+        self.contexts.append(LoadedContext(context, files, modification_times(files)))
         return context
 
     def reload(self):
-        """Ask for a check of all files now, as on SIGHUP."""
+        """Request a check of all files now, as on SIGHUP."""
         self.changed.set()
 
     async def follow(self):
-        """Check the files at an interval, and at once after `reload`."""
+        """Check the files every CHECK_SECONDS, and at once after `reload`."""
         while True:
             try:
                 async with asyncio.timeout(CHECK_SECONDS):
@@ -85,15 +87,15 @@
             self.refresh()
 
     def refresh(self):
-        """Load the files that changed; keep what is in force when they are unfit.
+        """Load the files that changed; keep the loaded ones if they are unusable.
 
-        A renewal writes two files, so for a moment certificate and key don't fit
-        each other. Loaded into the live context, that would break every new
-        connection; so they are tried on a context that nobody uses.
+        A renewal writes two files, so for a moment certificate and key don't match.
+        Loading them into the live context would break every new connection, so they
+        are first loaded into a context that is not used.
         """
-        for each in self.loaded:
+        for each in self.contexts:
             try:
-                times = change_times(each.files)
+                times = modification_times(each.files)
                 if times == each.times:
                     continue
                 load(ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER), each.files)
@@ -106,11 +108,12 @@
 
 
 def load(context, files):
-    """Load certificate, key and authorities; raise OSError when one is unfit."""
+    """Load certificate, key and authorities; raise OSError if one can't be loaded."""
     context.load_cert_chain(files.certificate, files.key)
     if files.authority:
         context.load_verify_locations(files.authority)
 
 
-def change_times(files):
+def modification_times(files):
+    """Return the modification times of the files, in nanoseconds."""
     return [os.stat(path).st_mtime_ns for path in files.paths]
--- a/tests/unit/test_beacons.py
+++ b/tests/unit/test_beacons.py
@@ -1,4 +1,4 @@
-"""Check what gateways tell each other at once."""
+"""Check the beacons that gateways send to each other without delay."""
 
 import asyncio
 
@@ -14,7 +14,7 @@
 
 
 class RecordingTransport:
-    """Keep the beacons that are sent, with their times."""
+    """Record the beacons that are sent, with their times."""
 
     def __init__(self):
         self.sent = []
@@ -39,11 +39,11 @@
     return gateway
 
 
-def test_a_leave_is_told_at_once_though_beacons_are_paced():
-    """Every stream is late for a second: nobody keeps the groups' maps.
+def test_a_stop_is_announced_at_once_although_beacons_are_rate_limited():
+    """Guard against a second in which no gateway manages the groups' expert maps.
 
-    The gateway that does so stops. Among 39 it tells of changes every 0.6 s, and it
-    has just done so; the next one takes over when it hears of the leave.
+    The gateway that manages them stops just after a beacon. Among 39 gateways beacons
+    are sent every 0.6 s, and another takes over only when it hears of the stop.
     """
 
     async def run():
@@ -59,10 +59,10 @@
     assert run_paused(run()) == [0.0] * (GATEWAYS - 1)
 
 
-def test_nothing_is_sent_once_a_gateway_has_closed_its_socket(caplog):
-    """An error stands in the log of every gateway that was stopped.
+def test_nothing_is_sent_after_a_gateway_has_closed_its_socket(caplog):
+    """Guard against an error in the log of every stopped gateway.
 
-    A beacon that was due in a moment found the socket gone.
+    It comes about when a beacon is due after the socket was closed.
     """
 
     async def run():
@@ -82,8 +82,12 @@
     assert caplog.records == []
 
 
-def test_a_gateway_that_starts_is_told_of_all_others_by_the_first_that_answers():
-    """A cold engine is overrun: the newest gateway counts only those of its seeds."""
+def test_the_first_answer_tells_a_new_gateway_about_all_others():
+    """Guard against an overloaded cold engine.
+
+    It comes about when a new gateway counts only its seeds among the gateways that
+    share the engine's limit.
+    """
 
     async def run():
         gateway = build_gateway()
--- a/tests/unit/test_operability.py
+++ b/tests/unit/test_operability.py
@@ -1,4 +1,4 @@
-"""Check logs, the agent's health routes, settings' rules and reference pages."""
+"""Check log fields, the agent's health routes, settings checks and reference pages."""
 
 import json
 import logging
@@ -39,7 +39,7 @@
     ]
 
 
-async def test_a_leaving_agent_is_alive_but_not_ready():
+async def test_a_draining_agent_is_alive_but_not_ready():
     settings = schema.load(AgentSettings, AGENT | {"host": "127.0.0.1"}).unwrap()
     agent = Agent(settings, 1)
     operations = Operations(agent)
@@ -94,7 +94,7 @@
         ),
     ],
 )
-def test_fields_that_do_not_fit_each_other_are_found(
+def test_settings_that_contradict_each_other_are_reported(
     tmp_path, cls, base, changes, path
 ):
     file = tmp_path / "settings.json"
@@ -112,7 +112,7 @@
     assert (finding.level, finding.path) == (Level.WARNING, "$.peer_keys")
 
 
-def test_certificates_that_fit_are_taken(tmp_path):
+def test_settings_with_valid_certificates_have_no_findings(tmp_path):
     files = Authority(tmp_path).issue("entry")
     entry = build_entry(peer_tls=files, callers_tls=files, peer_keys=[build_key()])
     assert entry.settings.check() == []
--- a/tests/unit/test_process.py
+++ b/tests/unit/test_process.py
@@ -1,4 +1,4 @@
-"""Check how a process ends."""
+"""Check that a process stops when one of its tasks fails."""
 
 import asyncio
 
@@ -7,17 +7,18 @@
 from fescuedrum.process import cancel, stop_on_failure
 
 
-def test_a_process_stops_when_a_lasting_task_fails_and_not_when_one_is_cancelled():
-    """An entry looks healthy for hours and sends work to members long gone.
+def test_a_process_stops_when_a_task_fails_and_not_when_one_is_cancelled():
+    """Guard against an entry that looks healthy and sends work to removed members.
 
-    The task that follows the instance list ended on an error that nobody foresaw.
+    It comes about when the task that follows the instance list ends with an unexpected
+    error.
     """
 
     async def fail():
         await asyncio.sleep(1)
         raise ZeroDivisionError
 
-    async def story():
+    async def run():
         stop = asyncio.Event()
         lasting = asyncio.create_task(asyncio.sleep(100))
         stop_on_failure([lasting], stop)
@@ -28,4 +29,4 @@
         async with asyncio.timeout(5):
             await stop.wait()
 
-    run_paused(story())
+    run_paused(run())
--- a/tests/unit/test_request_ends.py
+++ b/tests/unit/test_request_ends.py
@@ -1,4 +1,4 @@
-"""Check that each request's end is logged, however it comes."""
+"""Check that the end of each request is logged, whatever its cause."""
 
 import asyncio
 import logging
@@ -22,7 +22,7 @@
 
 
 def handle(error):
-    """Let a request end by an error; return (the gateway, the error raised)."""
+    """Handle a request that raises an error; return the gateway."""
     gateway = SimpleNamespace(
         error=error, running=0, leaving=False, stop_plan=None, metrics=GatewayMetrics()
     )
@@ -44,11 +44,11 @@
     ],
     ids=lambda error: type(error).__name__,
 )
-def test_a_caller_that_left_is_told_of_however_it_shows(error, caplog):
-    """Nothing in the logs says how a stream ended.
+def test_a_caller_disconnect_is_logged_whatever_error_it_raises(error, caplog):
+    """Guard against a stream whose end is not logged.
 
-    Its gateway slept while the caller left. On waking it wrote the next event first,
-    and the write failed before the library could cancel the request's handler.
+    It comes about when the caller disconnects while the gateway is stalled: writing the
+    next event then fails before aiohttp cancels the request's handler.
     """
     caplog.set_level(logging.INFO)
     gateway = handle(error)
@@ -57,7 +57,7 @@
     assert gateway.running == 0
 
 
-def test_a_process_that_stood_still_says_so(caplog):
+def test_a_stalled_process_is_logged(caplog):
     async def run():
         loop = asyncio.get_running_loop()
         late = []
--- a/tests/unit/test_serving.py
+++ b/tests/unit/test_serving.py
@@ -1,4 +1,4 @@
-"""Check which of callers' connections a stop closes."""
+"""Check which callers' connections are closed when a process stops."""
 
 import asyncio
 import contextlib
@@ -18,7 +18,7 @@
 
 @contextlib.asynccontextmanager
 async def one_connection():
-    """Yield (server, its only connection), whose requests are never answered."""
+    """Yield (server, its only connection); requests on it are never answered."""
 
     async def handle(_):
         await asyncio.sleep(60)
@@ -37,7 +37,7 @@
     await server.shutdown(0.1)
 
 
-async def test_a_connection_that_rests_is_closed_and_a_new_one_is_not():
+async def test_an_idle_connection_is_closed_and_a_new_one_is_not():
     async with one_connection() as (server, connection):
         transport = connection.transport
         now = asyncio.get_running_loop().time()
@@ -48,10 +48,10 @@
 
 
 async def test_a_connection_whose_request_was_read_is_not_closed():
-    """A caller's connection is closed without an answer, as if it had been resting.
+    """Guard against closing a connection with an unanswered request as if it were idle.
 
-    Its request was read when the loop stalled. When it went on, the look at resting
-    connections came before the request's handler had begun.
+    After a stall of the loop, idle connections are closed before the handler of a
+    request that has already been read has begun.
     """
     async with one_connection() as (server, connection):
         transport = connection.transport
@@ -61,10 +61,11 @@
         assert not transport.is_closing()
 
 
-async def test_a_stop_survives_a_body_that_is_given_up_in_the_same_moment():
-    """A process ends at its signal and cuts all that runs.
+async def test_a_stop_survives_a_body_timeout_in_the_same_loop_iteration():
+    """Guard against an error at the start of a stop that ends all running requests.
 
-    The time of a body was over in the very turn of the loop in which the stop began.
+    It comes about when a body's timeout expires in the loop iteration in which the stop
+    begins.
     """
     loop = asyncio.get_running_loop()
     server = TrackingServer(None, TrackedConnection, access_log=None)
@@ -75,20 +76,20 @@
 
     task = asyncio.create_task(read())
     await asyncio.sleep(0)
-    (limit,) = server.limits
-    leaving = loop.create_future()
-    loop.call_at(limit.when() - 1e-6, leaving.set_result, None)
-    await leaving
+    (timeout,) = server.body_timeouts
+    stopping = loop.create_future()
+    loop.call_at(timeout.when() - 1e-6, stopping.set_result, None)
+    await stopping
     server.start_draining(loop.time() + 1)
     with pytest.raises(TimeoutError):
         await task
 
 
 async def test_a_caller_that_has_just_connected_is_answered_at_the_end_of_a_stop():
-    """A request ends without a word, and no log has heard of it.
+    """Guard against a request that is lost without an answer or a log line.
 
-    It was sent on a connection that the kernel had taken and the process had not, when
-    that found no connection open and ended.
+    It comes about when the kernel has accepted the connection and the process has not,
+    so that it finds no open connection and exits.
     """
 
     async def refuse(_):
@@ -100,7 +101,7 @@
     await web.TCPSite(runner, "127.0.0.1", 0).start()
     plan = StopPlan(asyncio.get_running_loop().time(), stop_seconds=8.0)
     plan.close()
-    # Blocking, so that the loop has no turn in which it could accept.
+    # A blocking call, so that the loop can't accept the connection yet.
     with socket.create_connection(runner.addresses[0], timeout=1.0) as caller:
         caller.sendall(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n")
         await wait_for_delivery(plan, server, runner)
--- a/tests/unit/test_tls.py
+++ b/tests/unit/test_tls.py
@@ -25,7 +25,7 @@
 
 
 async def exchange(peers, port):
-    """Send a line there and back; return the serial number of the certificate."""
+    """Exchange a line with a server; return the serial number of its certificate."""
     reader, writer = await peers.connect("127.0.0.1", port)
     writer.write(b"line\n")
     assert await reader.readline() == b"line\n"
@@ -34,11 +34,11 @@
     return serial
 
 
-async def test_a_renewed_certificate_is_shown_without_a_restart(tmp_path):
-    """Certificates end after weeks and instances live for months.
+async def test_a_renewed_certificate_is_used_without_a_restart(tmp_path):
+    """Guard against an expired certificate in a process that runs for months.
 
-    The renewal writes two files; in between, certificate and key don't fit each
-    other, and the old pair must stay in force.
+    A renewal writes two files; while certificate and key don't match, the old pair must
+    stay in use.
     """
     authority = Authority(tmp_path)
     files = authority.issue("agent")
@@ -58,14 +58,14 @@
     server.close()
 
 
-async def test_neither_side_talks_to_a_peer_of_another_authority(tmp_path):
+async def test_both_sides_refuse_a_peer_of_another_authority(tmp_path):
     (tmp_path / "ours").mkdir()
     (tmp_path / "theirs").mkdir()
     ours, theirs = Authority(tmp_path / "ours"), Authority(tmp_path / "theirs")
     _, server, port = await listen(ours.issue("agent"))
-    # It trusts our agent but shows a certificate that our agent does not trust.
-    shown = theirs.issue("entry")
-    stranger = TlsFiles(shown.certificate, shown.key, str(ours.path))
+    # It trusts the agent but presents a certificate that the agent does not trust.
+    issued = theirs.issue("entry")
+    stranger = TlsFiles(issued.certificate, issued.key, str(ours.path))
     with pytest.raises((OSError, asyncio.IncompleteReadError, AssertionError)):
         await exchange(Peers([], stranger, None), port)
     with pytest.raises(ssl.SSLCertVerificationError):
@@ -82,7 +82,7 @@
 
 
 async def test_callers_reach_an_entry_over_tls_with_the_newest_certificate(tmp_path):
-    """The callers' certificate is renewed while their connections stay open."""
+    """Check a renewal of the callers' certificate while connections stay open."""
     authority = Authority(tmp_path)
     files = authority.issue("entry")
     entry = build_entry(callers_tls=files)
