--- a/packages/fescuedrum/src/fescuedrum/conf/diff.py
+++ b/packages/fescuedrum/src/fescuedrum/conf/diff.py
@@ -1,7 +1,7 @@
-"""Say in words how two documents differ, and merge changes made side by side.
+"""Describe the differences of two documents in words and merge concurrent changes.
 
-Items of a list are matched by their names, never by their places: a reordered list is
-no change. Hashes of keys are counted, never shown.
+Items of a list are matched by name, not by position, so a reordered list is no change.
+Hashes of keys are counted and never shown.
 """
 
 import copy
@@ -26,7 +26,7 @@
 
 
 class ChangeKind(enum.StrEnum):
-    """Say what happened to a part of the document."""
+    """Say how a part of the document changed."""
 
     ADDED = "added"
     REMOVED = "removed"
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Change:
-    """Hold one difference: where, of which kind, and in words."""
+    """Hold a difference: its path, its kind and its description."""
 
     path: str
     kind: ChangeKind
@@ -46,7 +46,7 @@
 
 
 def diff(before, after):
-    """List the changes that lead from one document to another."""
+    """Return the changes that lead from one document to another."""
     changes = []
     for field in dataclasses.fields(Document):
         compare_named(
@@ -56,32 +56,34 @@
 
 
 def compare_named(before, after, field, changes, owner=""):
-    olds = {item.name: item for item in before}
-    news = {item.name: item for item in after}
-    for name in [*olds, *(name for name in news if name not in olds)]:
+    """Append the changes between two lists of named items."""
+    old_items = {item.name: item for item in before}
+    new_items = {item.name: item for item in after}
+    for name in [*old_items, *(name for name in new_items if name not in old_items)]:
         subject = f"{owner}{SINGULAR[field]} {name}"
         path = f"{field}/{name}"
-        if name not in news:
+        if name not in new_items:
             words = f"{subject} removed"
             changes.append(Change(path, ChangeKind.REMOVED, words))
-        elif name not in olds:
-            words = f"{subject} added{describe_new(news[name])}"
+        elif name not in old_items:
+            words = f"{subject} added{describe_new(new_items[name])}"
             changes.append(Change(path, ChangeKind.ADDED, words))
         else:
-            compare_fields(olds[name], news[name], subject, path, changes)
+            compare_fields(old_items[name], new_items[name], subject, path, changes)
 
 
 def describe_new(item):
-    """Name the fields of an added item that differ from their defaults."""
+    """Return the fields of an added item that differ from their defaults, in words."""
     parts = []
     for field in dataclasses.fields(item):
         value = getattr(item, field.name)
         if field.name != "name" and value not in (schema.get_default(field), []):
-            parts.append(f"{spaced(field.name)} {show(value)}")
+            parts.append(f"{with_spaces(field.name)} {format_value(value)}")
     return f" with {', '.join(parts)}" if parts else ""
 
 
 def compare_fields(before, after, subject, path, changes):
+    """Append the changes between the fields of two objects."""
     for field in dataclasses.fields(before):
         old, new = getattr(before, field.name), getattr(after, field.name)
         if old == new:
@@ -92,45 +94,48 @@
         elif dataclasses.is_dataclass(old):
             compare_fields(old, new, subject, where, changes)
         else:
-            words = f"{subject}: {spaced(field.name)} {show_change(old, new)}"
+            words = f"{subject}: {with_spaces(field.name)} {format_change(old, new)}"
             changes.append(Change(where, ChangeKind.CHANGED, words))
 
 
 def is_named(item):
+    """Return whether an item is an object with a name."""
     return dataclasses.is_dataclass(item) and hasattr(item, "name")
 
 
-def show_change(old, new):
+def format_change(old, new):
+    """Return the description of a changed value."""
     if not isinstance(old, list):
-        return f"changed from {show(old)} to {show(new)}"
+        return f"changed from {format_value(old)} to {format_value(new)}"
     parts = []
     for label, items in (
         ("added", [item for item in new if item not in old]),
         ("removed", [item for item in old if item not in new]),
     ):
         if items:
-            parts.append(f"{label} {show(items)}")
-    return "; ".join(parts) or f"put in the order {show(new)}"
+            parts.append(f"{label} {format_value(items)}")
+    return "; ".join(parts) or f"put in the order {format_value(new)}"
 
 
-def show(value):
-    """Write a value for readers; hashes of keys are only counted."""
+def format_value(value):
+    """Return a value as text; hashes of keys are only counted."""
     if isinstance(value, list):
         if value and isinstance(value[0], KeyHash):
             return f"{len(value)} key{'s' if len(value) > 1 else ''}"
-        return ", ".join(show(item) for item in value) or "none"
+        return ", ".join(format_value(item) for item in value) or "none"
     if dataclasses.is_dataclass(value):
         return describe_new(value).removeprefix(" with ") or "defaults"
     return "none" if value in (None, "") else str(value)
 
 
-def spaced(name):
+def with_spaces(name):
+    """Return a field's name with spaces instead of underscores."""
     return name.replace("_", " ")
 
 
 @dataclass(slots=True, frozen=True)
 class Conflict:
-    """Name a field that both sides changed, each to a value of its own."""
+    """Hold a field that both sides changed to different values."""
 
     path: str
     mine: str
@@ -138,10 +143,10 @@
 
 
 def merge(base, mine, theirs):
-    """Merge two changes of one document: (document, conflicts).
+    """Merge two changed versions of a document; return (document, conflicts).
 
-    Where both changed one field differently, the merged document has their value
-    and the conflict says what mine was.
+    Where both changed a field to different values, the merged document has the value of
+    theirs and the conflict holds both.
     """
     conflicts = []
     merged = copy.deepcopy(theirs)
@@ -152,6 +157,7 @@
 
 
 def merge_named(base, mine, theirs, field, conflicts):
+    """Return the merged list of named items and append to conflicts."""
     bases, ours, others = (
         {item.name: item for item in side} for side in (base, mine, theirs)
     )
@@ -165,6 +171,7 @@
 
 
 def merge_value(base, mine, theirs, path, conflicts):
+    """Return the merged value and append to conflicts."""
     if mine in (base, theirs):
         return theirs
     if theirs == base:
@@ -183,6 +190,7 @@
 
 
 def merge_lists(base, mine, theirs, path, conflicts):
+    """Return the merged list; items that either side removed are left out."""
     if any(map(is_named, [*base, *mine, *theirs])):
         return merge_named(base, mine, theirs, path, conflicts)
     kept = [item for item in theirs if item in mine or item not in base]
@@ -190,4 +198,5 @@
 
 
 def describe_side(value):
-    return "removed" if value is None else show(value)
+    """Return a side's value of a conflict as text."""
+    return "removed" if value is None else format_value(value)
--- a/packages/fescuedrum/src/fescuedrum/conf/document/__init__.py
+++ b/packages/fescuedrum/src/fescuedrum/conf/document/__init__.py
@@ -1,4 +1,4 @@
-"""Define the configuration document: the whole desired state in one JSON text."""
+"""Define the configuration document, which holds the whole desired state as JSON."""
 
 from fescuedrum.conf.document.encoding import (
     decode,
--- a/packages/fescuedrum/src/fescuedrum/conf/document/encoding.py
+++ b/packages/fescuedrum/src/fescuedrum/conf/document/encoding.py
@@ -1,4 +1,4 @@
-"""Turn documents into bytes and back."""
+"""Encode documents as bytes and decode them."""
 
 import hashlib
 import json
@@ -12,26 +12,26 @@
 
 
 def encode_canonical(document):
-    """Encode a document so that equal documents give equal bytes.
+    """Return a document as bytes that are equal for equal documents.
 
-    Fields at their default are left out: a release that adds a field then changes
-    neither the bytes nor the hash of a document that does not use it, and processes
-    of the release before go on understanding it.
+    Fields at their default are omitted. A release that adds a field then changes
+    neither the bytes nor the hash of a document that does not use it, and processes of
+    the previous release can still load the document.
     """
     plain = schema.dump_non_default(document)
     return json.dumps(plain, sort_keys=True, separators=(",", ":")).encode()
 
 
 def document_hash(body):
-    """Hash a document's canonical bytes."""
+    """Return the SHA-256 of a document's canonical bytes, in hexadecimal."""
     return hashlib.sha256(body).hexdigest()
 
 
 def decode(body):
-    """Build a document from bytes: Ok(Document) or Err(findings).
+    """Build a document from bytes; return Ok(Document) or Err(findings).
 
-    Checks types and ranges only. Processes use it on accepted documents, so that
-    a check added by a later release can't turn away what is in force already.
+    Only types and ranges are checked. Processes use it for accepted documents, so that
+    a check added by a later release can't reject a document that is in force.
     """
     try:
         data = json.loads(body)
@@ -44,7 +44,7 @@
 
 
 def parse(body):
-    """Decode and check a document: Ok(Document) or Err(findings)."""
+    """Decode and check a document; return Ok(Document) or Err(findings)."""
     decoded = decode(body)
     if decoded.is_err():
         return decoded
--- a/packages/fescuedrum/src/fescuedrum/conf/document/model.py
+++ b/packages/fescuedrum/src/fescuedrum/conf/document/model.py
@@ -1,6 +1,6 @@
 """Define the classes of the configuration document.
 
-Every field added after the first release has a default, so that older documents load.
+Each field added after the first release has a default, so that older documents load.
 """
 
 import enum
@@ -14,21 +14,21 @@
 
 
 class ServiceKind(enum.StrEnum):
-    """Tell model engines from plain services."""
+    """Distinguish model engines from plain services."""
 
     ENGINE = "engine"
     PLAIN = "plain"
 
 
 class ZoneState(enum.StrEnum):
-    """Say whether a zone may get new work."""
+    """Say whether a zone receives new requests."""
 
     IN = "in"
     OUT = "out"
 
 
 class EndpointRole(enum.StrEnum):
-    """Say which part of the work an engine does."""
+    """Say which phases of a request an engine runs."""
 
     GENERAL = "general"
     PREFILL = "prefill"
@@ -36,7 +36,7 @@
 
 
 def idempotent_by_default():
-    """Return the methods that HTTP itself calls safe."""
+    """Return the methods that HTTP defines as safe."""
     return ["GET", "HEAD", "OPTIONS"]
 
 
@@ -66,7 +66,7 @@
     name: str = setting(help="Name by which callers know the adapter.")
     version: str = setting(help="Version that engines load.")
     organisations: list[str] = setting(
-        list, help="Organisations that may use it; empty lets all."
+        list, help="Organisations that may use it; empty allows all."
     )
 
 
@@ -97,19 +97,19 @@
 
 @dataclass(slots=True)
 class KeyHash:
-    """Hold a salted hash of a key or token; the key itself is kept nowhere."""
+    """Hold a salted hash of a key or token; the key itself is not stored."""
 
-    salt: str = setting(help="Random text that goes before the key when it is hashed.")
+    salt: str = setting(help="Random text that is prepended to the key before hashing.")
     sha256: str = setting(help="Hexadecimal SHA-256 of salt and key.")
 
     def matches(self, key):
-        """Tell whether this is the hash of a key, in time that does not tell more."""
+        """Return whether this is the hash of a key, compared in constant time."""
         return hmac.compare_digest(hash_key(self.salt, key), self.sha256)
 
 
 @dataclass(slots=True)
 class Limits:
-    """Bound what an organisation may use; null sets no bound."""
+    """Limit what an organisation may use; null sets no limit."""
 
     requests_per_second: float | None = setting(
         None, help="Sustained rate of requests.", minimum=0.001, unit="1/s"
@@ -118,21 +118,21 @@
         None, help="Sustained rate of tokens, prompt included.", minimum=1, unit="1/s"
     )
     concurrent_requests: int | None = setting(
-        None, help="Requests at the same time.", minimum=1
+        None, help="Concurrent requests.", minimum=1
     )
 
 
 @dataclass(slots=True)
 class Organisation:
-    """Describe an organisation, its share and its limits."""
+    """Describe an organisation, its keys, its share and its limits."""
 
     name: str = setting(help="Name of the organisation; keys begin with it and a dot.")
     keys: list[KeyHash] = setting(help="Salted hashes of its keys.")
     weight: float = setting(1.0, help="Share relative to others.", minimum=0.01)
     classes: list[str] = setting(
-        list, help="Classes of work that it may send; empty lets all."
+        list, help="Classes of work that it may send; empty allows all."
     )
-    limits: Limits = setting(Limits, help="Bounds on what it may use.")
+    limits: Limits = setting(Limits, help="Limits on what it may use.")
 
 
 @dataclass(slots=True)
@@ -146,46 +146,49 @@
 
 @dataclass(slots=True)
 class Endpoint:
-    """Describe an endpoint that operators have something to say about.
+    """Describe an endpoint for which operators set a role or limits.
 
-    Endpoints that announce themselves need no entry here.
+    Endpoints without such settings announce themselves and need no entry here.
     """
 
     name: str = setting(help="Name of the endpoint, as in its agent's settings.")
     service: str = setting(help="Service that it offers.")
-    zone: str = setting(help="Availability zone that it stands in.")
+    zone: str = setting(help="Availability zone that it is in.")
     roles: list[EndpointRole] = setting(
         lambda: [EndpointRole.GENERAL], help="general, prefill or decode."
     )
     checks_orders: bool = setting(
-        False, help="Whether it refuses orders with an old fencing number itself."
+        False, help="Whether it rejects orders with an old fencing number itself."
     )
     cold_limit: int | None = setting(
-        None, help="Requests it carries cold; null takes the agent's.", minimum=1
+        None, help="Concurrent requests when cold; null takes the agent's.", minimum=1
     )
     warm_limit: int | None = setting(
-        None, help="Requests it carries warm; null takes the agent's.", minimum=1
+        None, help="Concurrent requests when warm; null takes the agent's.", minimum=1
     )
 
 
 @dataclass(slots=True)
 class SharingRule:
-    """Bound the share of a service that some organisations get together."""
+    """Limit the share of a service that some organisations get together."""
 
     name: str = setting(help="Name of the rule.")
     service: str = setting(help="Service that is shared.")
-    organisations: list[str] = setting(help="Organisations that the rule is for.")
+    organisations: list[str] = setting(help="Organisations that the rule applies to.")
     minimum_share: float = setting(
-        0.0, help="Share kept for them when all want more.", minimum=0.0, maximum=1.0
+        0.0,
+        help="Share kept for them when all demand more.",
+        minimum=0.0,
+        maximum=1.0,
     )
     maximum_share: float = setting(
-        1.0, help="Share they get at most while others wait.", minimum=0.0, maximum=1.0
+        1.0, help="Largest share they get while others wait.", minimum=0.0, maximum=1.0
     )
 
 
 @dataclass(slots=True)
 class RankGroup:
-    """Describe a group of ranks that run in lock-step on one expert map."""
+    """Describe a group of ranks that run in lockstep on one expert map."""
 
     name: str = setting(help="Name of the group, as in its agents' settings.")
     service: str = setting(help="Service that the group offers.")
@@ -194,13 +197,13 @@
     layers: int = setting(help="Layers that have experts.", minimum=1)
     slots: int = setting(help="Experts that a rank holds in each layer.", minimum=1)
     endpoints: list[str] = setting(
-        list, help="Endpoints in the order of their ranks; empty lets agents announce."
+        list, help="Endpoints in rank order; empty takes those that agents announce."
     )
 
 
 @dataclass(slots=True)
 class Document:
-    """Hold the whole desired state."""
+    """Hold the whole desired state of a site."""
 
     services: list[Service] = setting(help="All services.")
     organisations: list[Organisation] = setting(help="All organisations.")
@@ -217,5 +220,5 @@
 
 
 def hash_key(salt, key):
-    """Hash a caller's key with its salt."""
+    """Return the SHA-256 of a salt and a caller's key, in hexadecimal."""
     return hashlib.sha256(f"{salt}{key}".encode()).hexdigest()
--- a/packages/fescuedrum/src/fescuedrum/conf/document/validation.py
+++ b/packages/fescuedrum/src/fescuedrum/conf/document/validation.py
@@ -1,4 +1,4 @@
-"""Check what a document says beyond its types: names, references and sums."""
+"""Check a document's names, references and sums, beyond its types."""
 
 from collections import defaultdict
 
@@ -18,12 +18,12 @@
 HTTP_METHODS = ("GET", "HEAD", "OPTIONS", "POST", "PUT", "PATCH", "DELETE")
 SHA256_LENGTH = 64
 HEXADECIMAL = frozenset("0123456789abcdef")
-# Sums of shares such as 0.1 + 0.2 miss 1 by a rounding error.
+# Sums of shares such as 0.1 + 0.2 have a rounding error.
 SHARE_TOLERANCE = 1e-9
 
 
 def check_document(document):
-    """List every finding, errors and warnings, with path, id and remedy."""
+    """Return all findings, errors and warnings."""
     names = {
         field: {item.name for item in getattr(document, field)}
         for field in NAMED_FIELDS
@@ -41,7 +41,7 @@
 
 
 def check_names(document):
-    """Report names that are empty, hold a control character or stand twice."""
+    """Report names that are empty, not printable or used more than once."""
     for field in NAMED_FIELDS:
         seen = set()
         for index, item in enumerate(getattr(document, field)):
@@ -50,21 +50,21 @@
                 yield checks.error(
                     "document.E003",
                     path,
-                    f"{item.name!r} is no name.",
-                    "Use printable characters, one at least.",
+                    f"{item.name!r} is not a valid name.",
+                    "Use at least one character, and only printable ones.",
                 )
             if item.name in seen:
                 yield checks.error(
                     "document.E002",
                     path,
-                    f"{item.name!r} stands twice.",
-                    "Give each its own name.",
+                    f"{item.name!r} is used more than once.",
+                    "Give each item a name of its own.",
                 )
             seen.add(item.name)
 
 
 def check_reference(path, name, known, kind):
-    """Report a name that refers to nothing."""
+    """Report a reference to a name that the document does not define."""
     if name not in known:
         yield checks.error(
             "document.E004",
@@ -75,12 +75,13 @@
 
 
 def check_services(document, names):
+    """Report models that a service can't serve, and unknown HTTP methods."""
     owners = {}
     for index, service in enumerate(document.services):
         path = f"$.services[{index}]"
         for number, model in enumerate(service.models):
             where = f"{path}.models[{number}]"
-            # Documents from before models were described have none at all.
+            # Documents of earlier releases have no models.
             if document.models:
                 yield from check_reference(where, model, names["models"], "model")
             if owners.setdefault(model, service.name) != service.name:
@@ -101,24 +102,26 @@
 
 
 def check_methods(path, service):
+    """Report idempotent methods that are not HTTP methods."""
     for index, method in enumerate(service.idempotent_methods):
         if method not in HTTP_METHODS:
             yield checks.error(
                 "document.E007",
                 f"{path}.idempotent_methods[{index}]",
-                f"{method!r} is no HTTP method.",
+                f"{method!r} is not an HTTP method.",
                 f"Use some of {', '.join(HTTP_METHODS)}.",
             )
 
 
 def check_organisations(document, names):
+    """Report organisations with invalid names, keys or classes."""
     for index, organisation in enumerate(document.organisations):
         path = f"$.organisations[{index}]"
         if "." in organisation.name:
             yield checks.error(
                 "document.E008",
                 f"{path}.name",
-                "The name holds a dot.",
+                "The name contains a dot.",
                 "Leave dots out: a key's name ends at its first dot.",
             )
         if not organisation.keys:
@@ -134,8 +137,8 @@
                 yield checks.error(
                     "document.E009",
                     f"{path}.keys[{number}].sha256",
-                    "This is no SHA-256.",
-                    "Write 64 hexadecimal digits in lower case.",
+                    "This is not a SHA-256.",
+                    "Write 64 lower-case hexadecimal digits.",
                 )
         for number, name in enumerate(organisation.classes):
             where = f"{path}.classes[{number}]"
@@ -143,6 +146,7 @@
 
 
 def check_endpoints(document, names):
+    """Report endpoints with unknown references or contradictory limits."""
     for index, endpoint in enumerate(document.endpoints):
         path = f"$.endpoints[{index}]"
         yield from check_reference(
@@ -157,11 +161,12 @@
                 "document.E010",
                 f"{path}.cold_limit",
                 f"It is above the warm limit {warm}.",
-                "Let a cold endpoint carry no more than a warm one.",
+                "Give a cold endpoint no higher limit than a warm one.",
             )
 
 
 def check_models(document, names):
+    """Report models without their version and adapters of unknown organisations."""
     for index, model in enumerate(document.models):
         path = f"$.models[{index}]"
         if model.versions and model.version not in model.versions:
@@ -172,14 +177,15 @@
                 "Choose one of its versions or add this one.",
             )
         for number, adapter in enumerate(model.adapters):
-            for place, name in enumerate(adapter.organisations):
-                where = f"{path}.adapters[{number}].organisations[{place}]"
+            for position, name in enumerate(adapter.organisations):
+                where = f"{path}.adapters[{number}].organisations[{position}]"
                 known = names["organisations"]
                 yield from check_reference(where, name, known, "organisation")
 
 
 def check_sharing_rules(document, names):
-    promised = defaultdict(float)
+    """Report rules with unknown references or impossible shares."""
+    reserved = defaultdict(float)
     for index, rule in enumerate(document.sharing_rules):
         path = f"$.sharing_rules[{index}]"
         yield from check_reference(
@@ -196,17 +202,18 @@
                 f"It is above the maximum {rule.maximum_share}.",
                 "Lower the minimum or raise the maximum.",
             )
-        promised[rule.service] += rule.minimum_share
-        if promised[rule.service] > 1 + SHARE_TOLERANCE:
+        reserved[rule.service] += rule.minimum_share
+        if reserved[rule.service] > 1 + SHARE_TOLERANCE:
             yield checks.error(
                 "document.E013",
                 f"{path}.minimum_share",
-                f"The rules promise over the whole of {rule.service!r}.",
-                "Lower the minimum shares of the service to a sum of 1 at most.",
+                f"The minimum shares of {rule.service!r} add up to more than 1.",
+                "Lower the minimum shares of the service to a sum of at most 1.",
             )
 
 
 def check_rank_groups(document, names):
+    """Report groups that can't hold their experts or whose endpoints don't fit."""
     endpoints = {each.name: each for each in document.endpoints}
     for index, group in enumerate(document.rank_groups):
         path = f"$.rank_groups[{index}]"
@@ -236,12 +243,13 @@
             yield checks.warning(
                 "document.W002",
                 f"{path}.endpoints",
-                f"The ranks stand in {len(zones)} zones.",
-                "Keep a group in one zone: a cut between zones stops all its ranks.",
+                f"The ranks are in {len(zones)} zones.",
+                "Keep a group in one zone: a cut between zones stops all ranks.",
             )
 
 
 def check_zones(document):
+    """Warn when every zone is out of service."""
     if document.zones and all(zone.state is ZoneState.OUT for zone in document.zones):
         yield checks.warning(
             "document.W003",
--- a/packages/fescuedrum/src/fescuedrum/conf/reference.py
+++ b/packages/fescuedrum/src/fescuedrum/conf/reference.py
@@ -1,4 +1,4 @@
-"""Describe data classes as JSON Schema and as a page for readers."""
+"""Describe data classes as JSON Schema and as Markdown reference pages."""
 
 import dataclasses
 import enum
@@ -13,7 +13,7 @@
 
 
 def json_schema(cls, title):
-    """Return the JSON Schema of a data class and all that it holds."""
+    """Return the JSON Schema of a data class and the classes it contains."""
     definitions = {}
     describe_type(cls, {}, definitions)
     return {
@@ -25,7 +25,7 @@
 
 
 def describe_type(kind, metadata, definitions):
-    """Return the JSON Schema of one type; add classes to the definitions."""
+    """Return the JSON Schema of a type; add its classes to definitions."""
     origin = typing.get_origin(kind)
     if origin is types.UnionType:
         inner = describe_type(optional_of(kind), metadata, definitions)
@@ -48,6 +48,7 @@
 
 
 def describe_scalar(kind, metadata):
+    """Return the JSON Schema of a scalar with its bounds."""
     described = {"type": SCALAR_TYPES[kind]}
     for bound in ("minimum", "maximum"):
         if metadata.get(bound) is not None:
@@ -56,6 +57,7 @@
 
 
 def describe_class(cls, definitions):
+    """Return the JSON Schema of a data class."""
     hints = typing.get_type_hints(cls)
     properties = {}
     required = []
@@ -80,7 +82,7 @@
 def reference_page(cls, title, introduction):
     """Return a Markdown page with a table for each class."""
     lines = [f"# {title}", "", introduction]
-    for each in [cls, *classes_within(cls)]:
+    for each in [cls, *nested_classes(cls)]:
         lines += ["", f"## {each.__name__}", "", first_line(each), ""]
         lines += ["| field | type | default | meaning |", "|---|---|---|---|"]
         lines += [describe_row(each, field) for field in dataclasses.fields(each)]
@@ -88,6 +90,7 @@
 
 
 def describe_row(cls, field):
+    """Return the table row of a field."""
     kind = typing.get_type_hints(cls)[field.name]
     default = schema.get_default(field)
     shown = "required" if default is schema.MISSING else f"`{schema.dump(default)}`"
@@ -96,6 +99,7 @@
 
 
 def describe_bounds(metadata):
+    """Return a field's bounds and unit in parentheses."""
     parts = []
     for bound in ("minimum", "maximum", "unit"):
         if metadata.get(bound) not in (None, ""):
@@ -104,6 +108,7 @@
 
 
 def type_name(kind):
+    """Return the name of a type for the reference page."""
     origin = typing.get_origin(kind)
     if origin is types.UnionType:
         return f"{type_name(optional_of(kind))} or null"
@@ -116,20 +121,22 @@
     return SCALAR_TYPES[kind]
 
 
-def classes_within(cls):
-    """Return the data classes that a class holds, in the order of their first use."""
+def nested_classes(cls):
+    """Return the data classes that a class contains, in order of first use."""
     found = []
     for kind in typing.get_type_hints(cls).values():
         for inner in [kind, *typing.get_args(kind)]:
             if dataclasses.is_dataclass(inner) and inner not in found:
                 found += [inner]
-                found += [each for each in classes_within(inner) if each not in found]
+                found += [each for each in nested_classes(inner) if each not in found]
     return found
 
 
 def optional_of(kind):
+    """Return the inner type of an optional type."""
     return next(arg for arg in typing.get_args(kind) if arg is not types.NoneType)
 
 
 def first_line(cls):
+    """Return the first line of a class's docstring."""
     return inspect.getdoc(cls).splitlines()[0]
--- a/packages/fescuedrum/src/fescuedrum/conf/routing.py
+++ b/packages/fescuedrum/src/fescuedrum/conf/routing.py
@@ -1,4 +1,4 @@
-"""Describe routes, services and organisations as the platform's operators set them."""
+"""Define the routing configuration: routes, services and organisations."""
 
 import enum
 import math
@@ -6,7 +6,7 @@
 
 
 class RequestKind(enum.StrEnum):
-    """Say how often a request may run and how its answer comes."""
+    """Say whether a request may be repeated and whether its answer is a stream."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non-idempotent"
@@ -15,11 +15,12 @@
 
     @property
     def is_stream(self):
+        """Return whether the answer is a stream of events."""
         return self in (RequestKind.STREAM, RequestKind.RESUMABLE_STREAM)
 
     @property
     def is_repeatable(self):
-        """Tell whether it may run more than once; a stream only if it can resume."""
+        """Return whether it may run more than once; a stream only if it can resume."""
         return self in (RequestKind.IDEMPOTENT, RequestKind.RESUMABLE_STREAM)
 
 
@@ -33,25 +34,25 @@
 
 @dataclass(slots=True, frozen=True)
 class Route:
-    """Send requests of one host under one path prefix to services."""
+    """Route requests for a host and path prefix to services."""
 
     name: str
     host: str
     prefix: str
     kind: RequestKind
     shares: tuple[ServiceShare, ...]
-    # Longest time that a caller is kept waiting, in seconds.
+    # Longest time that a caller waits, in seconds.
     timeout: float
-    # Time in which an answer, or a stream's first event, earns its full worth.
+    # Time in which an answer or a stream's first event has its full value, in seconds.
     target: float
     # 0 is the most urgent.
     priority: int
-    # Endpoints that one request may be sent to.
+    # Number of endpoints that a request may be sent to.
     maximum_attempts: int
-    # No organisation's key is asked for.
+    # Whether callers need no organisation's key.
     public: bool
-    # Longest pause between a stream's events with which it is on time, in seconds; 0
-    # where there is no bound.
+    # Longest pause between events with which a stream is on time, in seconds; 0 sets no
+    # limit.
     longest_pause: float = 0.0
 
 
@@ -63,11 +64,11 @@
     experts: int
     # Experts that a rank holds in each layer.
     places: int
-    # Experts new to a rank that one change may bring, in each layer.
+    # Experts that one map change may add to a rank, in each layer.
     spare: int
     # Time that a rank takes to copy one expert, in seconds.
     copy_seconds: float
-    # How old what a rank says of itself may be, in seconds.
+    # Largest age of a rank's report about itself, in seconds.
     report_lag: float
 
 
@@ -75,38 +76,38 @@
 class EngineProfile:
     """Describe how the model engines of a service work."""
 
-    # Requests that an engine runs at the same time; more wait in its queue.
+    # Requests that an engine runs concurrently; others wait in its queue.
     slots: int
-    # Tokens that an engine's memory holds.
+    # Tokens that fit into an engine's memory.
     token_capacity: int = 0
-    # None where engines hold all experts themselves.
+    # None if each engine holds all experts.
     experts: ExpertProfile | None = None
 
 
 @dataclass(slots=True, frozen=True)
 class RoutedService:
-    """Describe a service whose endpoints are reached directly."""
+    """Describe a service whose endpoints are called directly."""
 
     name: str
     maximum_connections: int = 0
-    # Requests a second that an endpoint in a cold start tolerates; 0 for no bound.
+    # Requests per second that an endpoint accepts in a cold start; 0 sets no limit.
     cold_per_second: float = 0.0
     engine: EngineProfile | None = None
 
 
 @dataclass(slots=True, frozen=True)
 class RoutedOrganisation:
-    """Describe an organisation, its callers' keys and its rank."""
+    """Describe an organisation, its callers' keys and its priority."""
 
     name: str
     keys: tuple[str, ...]
-    # Goes before the route's priority; None leaves that in force.
+    # Overrides the route's priority; None keeps that of the route.
     priority: int | None = None
 
 
 @dataclass(slots=True, frozen=True)
 class CallerLimits:
-    """Bound what callers may send."""
+    """Limit what callers may send."""
 
     maximum_body_bytes: int = 4 * 1024 * 1024
 
@@ -141,7 +142,7 @@
             for organisation in document.organisations
             for key in organisation.keys
         }
-        # Shortest pause between events that a service's callers allow, in seconds.
+        # For each service the shortest pause allowed by its routes, in seconds.
         self.allowed_pauses = shortest_pauses(document.routes)
         self.routes_by_host = {}
         longest_first = sorted(document.routes, key=lambda each: -len(each.prefix))
@@ -154,10 +155,11 @@
 
     @property
     def needs_keys(self):
+        """Return whether the document defines organisations."""
         return bool(self.document.organisations)
 
     def find_route(self, host, path):
-        """Return the route with the longest prefix that begins path, or None."""
+        """Return the route with the longest prefix that matches a path, or None."""
         for route in self.routes_by_host.get(host, ()):
             if path.startswith(route.prefix):
                 return route
@@ -165,16 +167,17 @@
 
 
 def shortest_pauses(routes):
+    """Return the shortest limited pause between events for each service."""
     pauses = {}
     for route in routes:
         for share in route.shares if route.longest_pause else ():
-            known = pauses.get(share.service, route.longest_pause)
-            pauses[share.service] = min(known, route.longest_pause)
+            shortest = pauses.get(share.service, route.longest_pause)
+            pauses[share.service] = min(shortest, route.longest_pause)
     return pauses
 
 
 def choose_service(route, random):
-    """Draw one of a route's services by their weights."""
+    """Return one of a route's services, chosen at random by weight."""
     if len(route.shares) == 1:
         return route.shares[0].service
     weights = [share.weight for share in route.shares]
--- a/packages/fescuedrum/src/fescuedrum/conf/safety.py
+++ b/packages/fescuedrum/src/fescuedrum/conf/safety.py
@@ -1,4 +1,4 @@
-"""Check a change for harm that operators must ask for by an explicit word."""
+"""Check a change for harmful effects that operators must allow explicitly."""
 
 import enum
 
@@ -7,17 +7,17 @@
 
 
 class Allowance(enum.StrEnum):
-    """Name the harms that a change may do when its operator says the word."""
+    """Name the harmful effects that an operator can allow for a change."""
 
     OUTAGE = "allow_outage"
     REMOVAL = "allow_removal"
 
 
 def check_change(before, after, allowed=(), served=None):
-    """List the harms of a change that its words do not allow.
+    """Return findings for the harmful effects of a change that are not allowed.
 
-    served maps each service to the zones that have endpoints of it, as seen now;
-    the endpoints that the documents name are added to it.
+    served maps each service to the zones in which its endpoints are known; the zones
+    of the endpoints in the document are added.
     """
     findings = []
     if Allowance.OUTAGE not in allowed:
@@ -28,7 +28,7 @@
 
 
 def check_outage(before, after, served):
-    """Report services that lose the last zone that serves them."""
+    """Report services of which the change takes out the last serving zone."""
     for index, service in enumerate(after.services):
         zones = {each.zone for each in after.endpoints if each.service == service.name}
         zones |= set(served.get(service.name, ()))
@@ -37,12 +37,12 @@
                 "change.E001",
                 f"$.services[{index}]",
                 f"{service.name!r} loses the last zone that serves it.",
-                f"Keep such a zone in, or say {Allowance.OUTAGE}.",
+                f"Keep such a zone in service, or specify {Allowance.OUTAGE}.",
             )
 
 
 def is_reachable(document, zones):
-    """Tell whether a zone is in among those given, or among all if none are given."""
+    """Return whether one of the zones, or of all if none are given, is in service."""
     return any(
         zone.state is ZoneState.IN and (not zones or zone.name in zones)
         for zone in document.zones
@@ -58,6 +58,6 @@
                 yield checks.error(
                     "change.E002",
                     f"$.{field}",
-                    f"{item.name!r} would be removed, and its requests refused.",
-                    f"Keep it, or say {Allowance.REMOVAL}.",
+                    f"{item.name!r} would be removed and its requests refused.",
+                    f"Keep it, or specify {Allowance.REMOVAL}.",
                 )
--- a/packages/fescuedrum/src/fescuedrum/conf/schema.py
+++ b/packages/fescuedrum/src/fescuedrum/conf/schema.py
@@ -1,4 +1,4 @@
-"""Build data classes from JSON and list every fault with its path and remedy."""
+"""Build data classes from JSON; report each error with its path and remedy."""
 
 import dataclasses
 import enum
@@ -14,7 +14,7 @@
 
 
 def setting(default=MISSING, *, help, minimum=None, maximum=None, unit=""):
-    """Declare a field of a settings or document class."""
+    """Declare a field of a settings or document class; help is its description."""
     metadata = {"help": help, "minimum": minimum, "maximum": maximum, "unit": unit}
     if callable(default):
         return dataclasses.field(default_factory=default, metadata=metadata)
@@ -22,7 +22,7 @@
 
 
 def load(cls, data):
-    """Build cls from decoded JSON: Ok(instance) or Err(list of findings)."""
+    """Build cls from decoded JSON; return Ok(instance) or Err(findings)."""
     findings = []
     instance = build(cls, data, "$", findings)
     if findings:
@@ -31,7 +31,7 @@
 
 
 def build(kind, data, path, findings, metadata=None):
-    """Convert data to kind; append to findings and return None when it can't."""
+    """Return data as a value of a type, or None after appending findings."""
     origin = typing.get_origin(kind)
     if origin is types.UnionType:
         return build_optional(kind, data, path, findings, metadata)
@@ -47,6 +47,7 @@
 
 
 def build_optional(kind, data, path, findings, metadata):
+    """Return None for null, else the value of the inner type."""
     if data is None:
         return None
     inner = next(arg for arg in typing.get_args(kind) if arg is not types.NoneType)
@@ -54,6 +55,7 @@
 
 
 def build_list(kind, data, path, findings):
+    """Return a list of built items."""
     if not isinstance(data, list):
         findings.append(wrong_type(path, "a list"))
         return None
@@ -65,6 +67,7 @@
 
 
 def build_mapping(kind, data, path, findings):
+    """Return a dict of built values."""
     if not isinstance(data, dict):
         findings.append(wrong_type(path, "an object"))
         return None
@@ -76,19 +79,24 @@
 
 
 def build_choice(kind, data, path, findings):
+    """Return a member of an enumeration."""
     choices = [member.value for member in kind]
     if data in choices:
         return kind(data)
     names = ", ".join(str(choice) for choice in choices)
     findings.append(
         checks.error(
-            "conf.E004", path, f"{data!r} is no choice.", f"Use one of {names}."
+            "conf.E004",
+            path,
+            f"{data!r} isn't a valid choice.",
+            f"Use one of {names}.",
         )
     )
     return None
 
 
 def build_object(kind, data, path, findings):
+    """Return an instance of a data class."""
     if not isinstance(data, dict):
         findings.append(wrong_type(path, "an object"))
         return None
@@ -114,6 +122,7 @@
 
 
 def report_unknown(data, fields, path, findings):
+    """Append a finding for each field that the class does not have."""
     known = ", ".join(sorted(fields))
     for name in data:
         if name not in fields:
@@ -121,13 +130,14 @@
                 checks.error(
                     "conf.E002",
                     f"{path}.{name}",
-                    "The field is not known.",
+                    "The field is unknown.",
                     f"Remove it, or use one of {known}.",
                 )
             )
 
 
 def build_scalar(kind, data, path, findings, metadata):
+    """Return a string, number or boolean within its range."""
     if kind is float and type(data) is int:
         data = float(data)
     if type(data) is not kind:
@@ -150,17 +160,19 @@
 
 
 def wrong_type(path, expected):
+    """Return the finding for a value of a wrong type."""
     return checks.error(
         "conf.E003", path, f"The value is not {expected}.", f"Write {expected}."
     )
 
 
 def describe_field(field):
+    """Return the help of a field as the hint to give it a value."""
     return field.metadata.get("help", f"Give a value for {field.name}.")
 
 
 def dump_non_default(instance):
-    """Turn a data class into plain JSON values without fields at their default."""
+    """Return a data class as JSON values, without fields at their default."""
     if dataclasses.is_dataclass(instance):
         return {
             field.name: dump_non_default(getattr(instance, field.name))
@@ -173,14 +185,14 @@
 
 
 def get_default(field):
-    """Return a field's default; MISSING when it has none."""
+    """Return a field's default, or MISSING if it has none."""
     if field.default_factory is not MISSING:
         return field.default_factory()
     return field.default
 
 
 def dump(instance):
-    """Turn a data class into plain JSON values."""
+    """Return a data class as JSON values."""
     if dataclasses.is_dataclass(instance):
         return {
             field.name: dump(getattr(instance, field.name))
--- a/tests/unit/test_diff.py
+++ b/tests/unit/test_diff.py
@@ -1,4 +1,4 @@
-"""Check the difference of documents in words and the merge of two changes."""
+"""Check descriptions of differences between documents and merges of changes."""
 
 import copy
 
@@ -28,7 +28,7 @@
     return lambda document: document.organisations.append(build_organisation(name))
 
 
-def test_changes_are_said_in_words_and_no_hash_is_shown():
+def test_changes_are_described_in_words_without_hashes():
     before = build_full_document()
     after = changed(
         before,
@@ -53,13 +53,13 @@
     assert len(words) == 6
 
 
-def test_an_order_of_items_is_no_change():
+def test_a_reordered_list_is_no_change():
     before = build_full_document()
     after = changed(before, lambda document: document.zones.reverse())
     assert diff(before, after) == []
 
 
-def test_two_operators_changes_of_different_parts_both_stand():
+def test_changes_of_different_parts_by_two_operators_are_both_kept():
     base = build_full_document()
     mine = changed(base, set_weight(3.0), add_organisation("a"))
     theirs = changed(base, set_state(1, documents.ZoneState.OUT), add_organisation("b"))
@@ -70,7 +70,7 @@
     }
 
 
-def test_one_field_changed_twice_is_a_conflict_and_theirs_stands():
+def test_a_field_changed_by_both_is_a_conflict_and_theirs_is_kept():
     base = build_full_document()
     mine, theirs = changed(base, set_weight(3.0)), changed(base, set_weight(4.0))
     merged, (conflict,) = merge(base, mine, theirs)
@@ -91,7 +91,7 @@
 
 @settings(max_examples=60, deadline=None)
 @given(EDITS, EDITS)
-def test_a_merge_without_conflicts_loses_neither_side(first, second):
+def test_a_merge_without_conflicts_keeps_both_sides(first, second):
     base = build_full_document()
     mine, theirs = changed(base, *first), changed(base, *second)
     merged, conflicts = merge(base, mine, theirs)
--- a/tests/unit/test_schema.py
+++ b/tests/unit/test_schema.py
@@ -1,4 +1,4 @@
-"""Check that settings and documents report every fault with path and remedy."""
+"""Check that loading reports every error with its path and remedy."""
 
 import json
 
@@ -8,7 +8,7 @@
 from fescuedrum_agent.conf import AgentSettings
 
 
-def test_every_fault_is_listed_at_once():
+def test_all_errors_are_reported_at_once():
     data = {"name": 3, "port": 0, "colour": "red"}
     findings = schema.load(AgentSettings, data).unwrap_err()
     paths = {finding.path for finding in findings}
@@ -16,7 +16,7 @@
     assert all(finding.hint for finding in findings)
 
 
-def test_a_document_survives_its_canonical_form():
+def test_a_document_is_unchanged_by_its_canonical_encoding():
     body = documents.encode_canonical(build_document())
     assert documents.encode_canonical(documents.parse(body).unwrap()) == body
 
@@ -28,7 +28,7 @@
     assert documents.document_hash(again) == documents.document_hash(body)
 
 
-def test_a_name_that_stands_twice_is_found():
+def test_a_duplicate_name_is_reported():
     zones = [documents.Zone("zone-1"), documents.Zone("zone-1")]
     body = documents.encode_canonical(build_document(zones=zones))
     (finding,) = documents.parse(body).unwrap_err()
