--- a/packages/fescuedrum/src/fescuedrum/explaining.py
+++ b/packages/fescuedrum/src/fescuedrum/explaining.py
@@ -1,4 +1,4 @@
-"""Say how a request ended and why, from the log lines of several processes."""
+"""Explain from the log lines of several processes how and why a request ended."""
 
 import datetime
 import json
@@ -6,14 +6,15 @@
 
 from fescuedrum.events import groups, processes, requests, tables
 
-# What a process came to believe this long before a request still bears on it: a group
-# that lost a rank stalls for one to two seconds before it refuses.
-BELIEF_SECONDS = 3.0
+# How long before a request a state change may have affected it: a group that lost a
+# rank stalls for one to two seconds before it refuses requests.
+STATE_CHANGE_SECONDS = 3.0
 
-# A process that wakes tells of it within this time; what came meanwhile is read first.
+# A stalled process first reads what arrived meanwhile and logs the stall within this
+# time of resuming.
 STALL_SECONDS = 0.5
-# Events that tell of a change of what a process believes.
-BELIEFS = frozenset(
+# Messages of events that report a change of state in a process.
+STATE_CHANGE_MESSAGES = frozenset(
     event.message
     for event in (
         groups.GroupBeganAnew,
@@ -36,11 +37,11 @@
         tables.ZoneTakenOut,
     )
 )
-# Of these a site has many; they bear only on requests that were sent there.
-OF_ONE_ENDPOINT = frozenset(
+# Frequent at a site; they are relevant only to requests sent to the same endpoint.
+ENDPOINT_MESSAGES = frozenset(
     (tables.EndpointGone.message, tables.EndpointUnlisted.message)
 )
-# Fields that every line has, or that say nothing of the request.
+# Fields that every line has or that say nothing about the request.
 COMMON_FIELDS = frozenset(
     ("time", "level", "logger", "message", "instance", "zone", "request", "routine")
 )
@@ -62,7 +63,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LogLine:
-    """Hold one line; at is seconds since the epoch by the writer's clock."""
+    """Hold a log line; at is seconds since the epoch by the writer's clock."""
 
     at: float
     instance: str
@@ -70,20 +71,20 @@
     fields: dict
 
     def describe(self):
-        """Return the line for a reader, without what all lines have."""
-        moment = datetime.datetime.fromtimestamp(self.at, datetime.UTC)
-        told = [
+        """Return the line as text, without the common fields."""
+        written_at = datetime.datetime.fromtimestamp(self.at, datetime.UTC)
+        parts = [
             f"{name}={value}"
             for name, value in self.fields.items()
             if name not in COMMON_FIELDS
         ]
-        clock = moment.strftime("%H:%M:%S.%f")[:-3]
-        return "  ".join((clock, self.instance, self.message, " ".join(told))).rstrip()
+        clock = written_at.strftime("%H:%M:%S.%f")[:-3]
+        return "  ".join((clock, self.instance, self.message, " ".join(parts))).rstrip()
 
 
 @dataclass(slots=True, frozen=True)
 class Explanation:
-    """Hold a request's own lines, what was believed around it, and the conclusion."""
+    """Hold a request's own lines, state changes around it, and the conclusion."""
 
     lines: list[LogLine]
     state_changes: list[LogLine]
@@ -91,7 +92,7 @@
 
 
 def parse_line(text):
-    """Return the log line in a text, after whatever stands before it; else None."""
+    """Return the log line in a text, after any prefix; None if there is none."""
     begin = text.find("{")
     if begin < 0:
         return None
@@ -105,46 +106,46 @@
 
 
 def explain(request_id, lines):
-    """Return the Explanation of a request; None when no line names it."""
+    """Return the Explanation of a request, or None if no line names it."""
     ordered = sorted(lines, key=lambda line: line.at)
     own = [line for line in ordered if line.fields.get("request") == request_id]
     if not own:
         return None
-    state_changes = [line for line in ordered if bears_on(line, own)]
+    state_changes = [line for line in ordered if is_relevant(line, own)]
     return Explanation(own, state_changes, conclude(own, ordered))
 
 
-def bears_on(line, own):
-    """Tell whether a line tells of a belief that may have decided a request."""
-    if line.message not in BELIEFS:
+def is_relevant(line, own):
+    """Return whether a line reports a state change that may have affected a request."""
+    if line.message not in STATE_CHANGE_MESSAGES:
         return False
-    if not own[0].at - BELIEF_SECONDS <= line.at <= own[-1].at:
+    if not own[0].at - STATE_CHANGE_SECONDS <= line.at <= own[-1].at:
         return False
-    if line.message not in OF_ONE_ENDPOINT:
+    if line.message not in ENDPOINT_MESSAGES:
         return True
     name = line.fields.get("endpoint") or line.fields.get("row")
     return name in {each.fields.get("endpoint") for each in own}
 
 
 def conclude(own, lines):
-    """Say in a sentence how a request ended, by its newest line."""
+    """Return a sentence on how a request ended, from its last line."""
     last = own[-1]
-    trouble = describe_trouble(own) + describe_stall(own, lines)
+    trouble = describe_failures(own) + describe_stall(own, lines)
     match last.message:
         case requests.RequestRefused.message:
-            return f"Refused: {cause_of(last.fields)}{trouble}."
+            return f"Refused: {describe_cause(last.fields)}{trouble}."
         case requests.RequestEnded.message:
             return f"{describe_end(last.fields)}{trouble}."
         case requests.AnswerNotDelivered.message:
             return f"Its answer was whole and not all of it left in time{trouble}."
         case requests.CallerLeft.message:
-            return f"{describe_leave(last.fields)}{trouble}."
+            return f"{describe_disconnect(last.fields)}{trouble}."
         case _:
-            return f"Its end was not logged: {fate_of(last, lines)}{trouble}."
+            return f"Its end was not logged: {describe_process(last, lines)}{trouble}."
 
 
-def fate_of(last, lines):
-    """Say what became of the process that wrote a request's newest line."""
+def describe_process(last, lines):
+    """Return what happened to the process that wrote the request's last line."""
     instance = last.instance
     later = [line for line in lines if line.instance == instance and line.at > last.at]
     for line in later:
@@ -157,7 +158,7 @@
 
 
 def describe_stall(own, lines):
-    """Return for how long the request's process stood still, for a sentence's end."""
+    """Return how long the request's process stalled, as the end of a sentence."""
     begin, end = own[0].at - STALL_SECONDS, own[-1].at + STALL_SECONDS
     stalls = [
         line.fields.get("seconds", 0.0)
@@ -171,23 +172,26 @@
     return f"; {own[-1].instance} stood still for {max(stalls):.1f} s around it"
 
 
-def cause_of(fields):
+def describe_cause(fields):
+    """Return the cause of a refusal, with its code and detail."""
     code, detail = fields.get("code", "?"), fields.get("detail", "")
     cause = CAUSES.get(code, "see its detail")
-    told = f"{cause} ({code}: {detail})"
+    text = f"{cause} ({code}: {detail})"
     back = fields.get("retry_after")
-    return told if back is None else f"{told}; told to come back after {back:.2f} s"
+    return text if back is None else f"{text}; told to come back after {back:.2f} s"
 
 
-def describe_leave(fields):
+def describe_disconnect(fields):
+    """Return when the caller disconnected and what it had received."""
     seconds, silent = fields.get("seconds"), fields.get("silent_seconds")
-    told = f"Its caller left after {seconds} s"
+    text = f"Its caller left after {seconds} s"
     if silent is None:
-        return f"{told}, before any event or answer had come"
-    return f"{told}; event {fields.get('last_event')} had come {silent} s before"
+        return f"{text}, before any event or answer had come"
+    return f"{text}; event {fields.get('last_event')} had come {silent} s before"
 
 
 def describe_end(fields):
+    """Return how an answer ended."""
     result, detail = fields.get("result"), fields.get("detail", "")
     seconds = fields.get("seconds")
     match result:
@@ -199,8 +203,8 @@
             return f"Its answer was cut after {seconds} s ({detail})"
 
 
-def describe_trouble(own):
-    """Return the sendings that came to nothing, for the end of a sentence."""
+def describe_failures(own):
+    """Return the failed attempts, as the end of a sentence."""
     failed = [
         f"{line.fields.get('endpoint')} {line.fields.get('result')}: "
         f"{line.fields.get('reason')}"
--- a/tests/unit/test_explaining.py
+++ b/tests/unit/test_explaining.py
@@ -1,4 +1,4 @@
-"""Check that a request's end and its cause are told from log lines."""
+"""Check that a request's end and its cause are found from log lines."""
 
 import json
 
@@ -10,15 +10,15 @@
 
 
 def build_line(second, message, prefix="", instance="gateway-1", **fields):
-    told = {
+    common = {
         "time": f"2026-01-08T04:57:{second:06.3f}+00:00",
         "message": message,
         "instance": instance,
     }
-    return prefix + json.dumps(told | fields)
+    return prefix + json.dumps(common | fields)
 
 
-def tell(request_id, *texts):
+def explain_logs(request_id, *texts):
     lines = [parse_line(text) for text in texts]
     return explain(request_id, [line for line in lines if line is not None])
 
@@ -26,12 +26,12 @@
 SENT = {"request": "r-1", "endpoint": "e-1", "attempt": 1}
 
 
-def test_a_refusal_is_told_with_its_cause_and_what_led_to_it():
-    """A club was refused, and the engineer on call has only the logs.
+def test_a_refusal_is_explained_with_its_cause_and_state_changes():
+    """Guard against a refusal whose cause can't be found from the logs.
 
-    A rank of the group left; the group stalled, and two endpoints refused.
+    A rank leaves its group, the group stalls and two endpoints refuse the request.
     """
-    told = tell(
+    explanation = explain_logs(
         "r-1",
         build_line(
             4.0, "request refused", request="r-1", code="group-down", detail="x"
@@ -43,18 +43,18 @@
         build_line(1.5, "group began anew", instance="gateway-2", group="g"),
         build_line(2.5, "request sent", request="r-2", endpoint="e-1"),
     )
-    assert [line.message for line in told.lines] == [
+    assert [line.message for line in explanation.lines] == [
         "request sent",
         "sending failed",
         "request refused",
     ]
-    assert [line.message for line in told.state_changes] == ["group began anew"]
-    assert "group was down" in told.conclusion
-    assert "e-1 not run: refused with 503" in told.conclusion
+    assert [line.message for line in explanation.state_changes] == ["group began anew"]
+    assert "group was down" in explanation.conclusion
+    assert "e-1 not run: refused with 503" in explanation.conclusion
 
 
-def test_one_that_may_have_run_is_told_as_such():
-    told = tell(
+def test_a_request_that_may_have_run_is_reported_as_such():
+    explanation = explain_logs(
         "r-1",
         build_line(2.0, "request sent", **SENT),
         build_line(
@@ -62,19 +62,19 @@
         ),
         build_line(2.2, "request refused", request="r-1", code="answer-lost"),
     )
-    assert "answer was lost" in told.conclusion
-    assert "e-1 lost: reset" in told.conclusion
+    assert "answer was lost" in explanation.conclusion
+    assert "e-1 lost: reset" in explanation.conclusion
 
 
-def test_a_stream_that_was_cut_names_its_last_event():
-    told = tell(
+def test_the_conclusion_on_a_cut_stream_names_its_last_event():
+    explanation = explain_logs(
         "r-1",
         build_line(2.0, "request sent", **SENT),
         build_line(2.5, "stream broken", request="r-1", last_event="8", reason="reset"),
         build_line(3.0, "request ended", request="r-1", result="cut", seconds=1.0),
     )
-    assert "cut after 1.0 s" in told.conclusion
-    assert "behind event 8: reset" in told.conclusion
+    assert "cut after 1.0 s" in explanation.conclusion
+    assert "behind event 8: reset" in explanation.conclusion
 
 
 @pytest.mark.parametrize(
@@ -99,46 +99,47 @@
     ],
 )
 def test_each_end_has_its_sentence(message, fields, words):
-    told = tell("r-1", build_line(1.0, message, request="r-1", **fields))
-    assert words in told.conclusion
+    explanation = explain_logs("r-1", build_line(1.0, message, request="r-1", **fields))
+    assert words in explanation.conclusion
 
 
-def test_a_request_that_ended_with_its_process_is_told_as_such():
-    """A stream was cut, and nothing says why: its gateway lost its power."""
-    told = tell(
+def test_a_request_that_ended_with_its_process_is_reported_as_such():
+    """Guard against a cut stream without a cause: its gateway lost power."""
+    explanation = explain_logs(
         "r-1",
         build_line(1.0, "request sent", **SENT),
         build_line(2.0, "gateway started", instance="gateway-2", release="1"),
         build_line(3.5, "gateway started", release="1"),
     )
-    assert "gateway-1 ended, and started again 2.5 s after it" in told.conclusion
+    assert "gateway-1 ended, and started again 2.5 s after it" in explanation.conclusion
 
 
-def test_a_process_that_stood_still_is_the_cause_of_a_caller_who_left():
-    """A caller left after 8 ms, it seems, though it waited for more than a second.
+def test_a_stalled_process_is_the_cause_of_a_disconnected_caller():
+    """Guard against a wrong waiting time of a caller that disconnected.
 
-    Its gateway was frozen and read the request only when the caller was gone.
+    A frozen gateway reads the request only after the caller has disconnected, so it
+    logs 8 ms although the caller waited for more than a second.
     """
-    told = tell(
+    explanation = explain_logs(
         "r-1",
         build_line(12.462, "caller left", request="r-1", seconds=0.008),
         build_line(12.47, "process stalled", seconds=1.52),
         build_line(12.47, "process stalled", instance="gateway-2", seconds=9.0),
     )
-    assert "gateway-1 stood still for 1.5 s around it" in told.conclusion
+    assert "gateway-1 stood still for 1.5 s around it" in explanation.conclusion
 
 
-def test_only_the_leave_of_its_own_endpoint_bears_on_a_request():
-    told = tell(
+def test_only_the_removal_of_its_own_endpoint_is_relevant_to_a_request():
+    explanation = explain_logs(
         "r-1",
         build_line(1.0, "endpoint unlisted", row="e-1"),
         build_line(1.0, "endpoint unlisted", row="e-2"),
         build_line(1.1, "request sent", **SENT),
     )
-    assert [line.fields["row"] for line in told.state_changes] == ["e-1"]
+    assert [line.fields["row"] for line in explanation.state_changes] == ["e-1"]
 
 
-def test_the_command_reads_prefixed_lines_and_passes_over_others(tmp_path, capsys):
+def test_the_command_reads_prefixed_lines_and_skips_others(tmp_path, capsys):
     path = tmp_path / "log"
     path.write_text(
         "\n".join(
