--- a/packages/fescuedrum/src/fescuedrum/wire/handshake.py
+++ b/packages/fescuedrum/src/fescuedrum/wire/handshake.py
@@ -83,11 +83,11 @@
 
 
 def as_bytes(value):
-    """Return a binary field as bytes; thrift decodes it to text if it is text."""
+    """Return a binary field as bytes; thrift decodes valid text to str."""
     return value.encode() if isinstance(value, str) else value
 
 
-def identity(hello):
+def signed_fields(hello):
     """Return the fields of a Hello that a proof covers."""
     fields = (
         hello.role,
@@ -127,7 +127,7 @@
         hello.addressee = addressee
         self.keyring = keyring
         self.hello = hello
-        self.transcript = identity(hello)
+        self.transcript = signed_fields(hello)
         self.peer = None
         self.protocol = None
 
@@ -146,7 +146,7 @@
                 self.check_role(body)
                 self.check_addressee(body)
                 self.peer = body
-                self.transcript += identity(body)
+                self.transcript += signed_fields(body)
                 return []
             case frames.Proof() if self.peer and not self.done:
                 if not self.keyring.accepts(body, AGENT, self.transcript):
@@ -212,7 +212,7 @@
         """Return the Challenge that answers the peer's Hello."""
         check_nonce(hello.nonce)
         self.peer = hello
-        self.transcript = [*identity(hello), self.nonce]
+        self.transcript = [*signed_fields(hello), self.nonce]
         reply = frames.Challenge(PROTOCOL, MINIMUM_PROTOCOL, self.nonce)
         return [{"challenge": reply}]
 
@@ -227,7 +227,7 @@
         if self.peer.addressee != self.hello.instance:
             raise PeerRefusedError(f"The entry addressed {self.peer.addressee!r}.")
         self.done = True
-        self.transcript += identity(self.hello)
+        self.transcript += signed_fields(self.hello)
         # The entry may not have this side's newest key yet.
         made = self.keyring.prove(AGENT, self.transcript, proof.key_id)
         return [{"hello": self.hello}, {"proof": made}]
--- a/packages/fescuedrum/src/fescuedrum/wire/idl/frames.thrift
+++ b/packages/fescuedrum/src/fescuedrum/wire/idl/frames.thrift
@@ -1,7 +1,7 @@
 // Every frame of a connection between two processes of fescuedrum.
-// A length prefix of four bytes goes before each encoded Frame.
-// Field numbers are never used again; a field that an old process does not know
-// is skipped by it, so new fields are optional and have a safe absent meaning.
+// Each encoded Frame is preceded by its length in four bytes.
+// Field numbers are never reused. An old process skips fields that it does not know,
+// so new fields are optional, and their absence has a safe meaning.
 
 include "members.thrift"
 
@@ -21,26 +21,26 @@
   6: optional binary nonce,
   7: optional string endpoint,
   8: optional string service_name,
-  // Oldest protocol that the sender still speaks; absent means 1.
+  // Oldest protocol that the sender supports; absent means 1.
   9: optional i32 minimum_protocol,
-  // Instance that the sender means to reach; the proofs bind it.
+  // Instance that the sender connects to; the proofs cover it.
   10: optional string addressee,
 }
 
-// The agent's answer to a Hello. It names no instance: whoever asks gets it unproved.
+// The agent's answer to a Hello. It names no instance: the peer has proved nothing.
 struct Challenge {
   1: optional i32 protocol,
   2: optional i32 minimum_protocol,
   3: optional binary nonce,
 }
 
-// Shows that the sender holds a peer key, without telling it.
+// Proves that the sender has a peer key without revealing the key.
 struct Proof {
   1: optional string key_id,
   2: optional binary mac,
 }
 
-// budget_ms is the time left, never a clock reading: hosts' clocks differ.
+// budget_ms is the remaining time, not a time of day, because hosts' clocks differ.
 struct Request {
   1: optional i64 number,
   2: optional i32 attempt,
@@ -60,21 +60,21 @@
   16: optional i64 resume_offset,
   17: optional i64 version,
   18: optional i32 window,
-  // Answer from what the ledger holds under the key; start nothing.
+  // Answer from the ledger's entry for the key; do not run the request.
   19: optional bool attach_only,
-  // Attempt of the key, and the life of the agent that its claim names.
+  // Attempt of the key, and the incarnation of the agent that its claim names.
   20: optional i32 key_attempt,
   21: optional i64 incarnation,
 }
 
-// Ask what became of a key's attempts up to a number; forbid those not seen yet.
+// Ask for the outcome of a key's attempts up to a number; forbid those not yet seen.
 struct Fence {
   1: optional i64 number,
   2: optional i32 attempt,
   3: optional string key,
   4: optional i32 key_attempt,
   5: optional i64 incarnation,
-  // How long to wait for a request that may still be on its way.
+  // How long to wait for a request that may still be in transit.
   6: optional i32 patience_ms,
 }
 
@@ -84,13 +84,13 @@
   3: optional string verdict,
 }
 
-// The end of a key is in its row; with keep_answer its bytes are only here.
+// The key's outcome is in its row; with keep_answer only the agent has the bytes.
 struct Recorded {
   1: optional string key,
   2: optional bool keep_answer,
 }
 
-// Says that the request was not run and, at this agent, will not be.
+// The request was not run and will not be run by this agent.
 struct Refusal {
   1: optional i64 number,
   2: optional i32 attempt,
@@ -103,7 +103,7 @@
   2: optional i32 attempt,
   3: optional i32 status,
   4: optional list<Header> headers,
-  // Time in the agent's queue.
+  // Time spent in the agent's queue.
   30: optional i32 waited_ms,
   // The endpoint was cold when the request started.
   31: optional bool cold,
@@ -116,16 +116,16 @@
   4: optional binary data,
 }
 
-// Only an End whose length equals the bytes received makes an answer whole.
+// An answer is complete only if the End's length equals the number of bytes received.
 struct End {
   1: optional i64 number,
   2: optional i32 attempt,
   3: optional string outcome,
   4: optional i64 length,
   5: optional string reason,
-  // With the outcome not-run: when to come back.
+  // With the outcome not-run: when to retry.
   30: optional i32 retry_after_ms,
-  // The endpoint refused or cut the agent's connection.
+  // The endpoint refused or closed the agent's connection.
   31: optional bool unavailable,
 }
 
--- a/packages/fescuedrum/src/fescuedrum/wire/idl/gateways.thrift
+++ b/packages/fescuedrum/src/fescuedrum/wire/idl/gateways.thrift
@@ -1,4 +1,4 @@
-// What gateway processes tell each other in datagrams.
+// Datagrams that gateway processes send to each other.
 
 namespace py fescuedrum.wire.gen.gateways
 
@@ -8,12 +8,12 @@
   3: optional i32 unread_tokens,
 }
 
-// What an endpoint said last of the requests it takes from all gateways together.
+// The last limit that an endpoint stated for requests from all gateways together.
 struct EndpointLimit {
   1: optional string endpoint,
   // Unset once it has answered without a limit.
   2: optional double per_second,
-  // Time since it said so, in seconds.
+  // Time since the endpoint stated it, in seconds.
   3: optional double age,
 }
 
@@ -30,14 +30,14 @@
   8: optional i64 endpoints_version,
   // Endpoints at which the sender has requests; absent ones have none.
   9: optional list<EndpointLoad> loads,
-  // Addresses of other gateways that the sender hears.
+  // Addresses of other gateways whose beacons the sender receives.
   10: optional list<string> known_hosts,
-  // Unset in an answer, so that two processes don't answer each other for ever.
+  // Unset in an answer, so that two processes don't answer each other endlessly.
   11: optional bool wants_answer,
   // Width of the sender's link: the widest leads the groups.
   12: optional double link_megabits,
   // Availability zone of the sender.
   13: optional string zone,
-  // What the sender itself heard lately of endpoints' limits.
+  // Limits that endpoints stated to the sender itself recently.
   14: optional list<EndpointLimit> limits,
 }
--- a/packages/fescuedrum/src/fescuedrum/wire/idl/members.thrift
+++ b/packages/fescuedrum/src/fescuedrum/wire/idl/members.thrift
@@ -1,4 +1,4 @@
-// What processes tell each other about themselves and the configuration.
+// Frames in which processes report their state and exchange the configuration.
 
 namespace py fescuedrum.wire.gen.members
 
@@ -8,17 +8,17 @@
   3: optional i32 limit,
   4: optional bool warm,
   5: optional double step_seconds,
-  // Requests of the receiver that this agent had seen on this connection.
+  // Requests of the receiver that this agent had received on this connection.
   20: optional i64 received,
-  // Cost served a second while all places were taken; absent before it is known.
+  // Cost served per second while all places were in use; absent until it is known.
   21: optional double cost_rate,
-  // Seconds for each unit of cost, smoothed, and the answers ever behind it.
+  // Smoothed seconds per unit of cost, and the number of answers it is based on.
   22: optional double delay,
   23: optional i64 answers,
   24: optional list<string> loaded,
 }
 
-// Who sends it stands in the Hello of its connection and is not told again.
+// The sender is known from the Hello of the connection.
 struct Heartbeat {
   1: optional string instance,
   2: optional i64 incarnation,
@@ -28,7 +28,7 @@
   6: optional bool leaving,
   7: optional LoadReport load,
   8: optional i64 sequence,
-  // How often the sender wants to hear heartbeats; absent leaves it to the receiver.
+  // Interval at which the sender wants heartbeats; absent leaves it to the receiver.
   10: optional i32 wanted_interval_ms,
 }
 
@@ -45,7 +45,7 @@
   5: optional i32 running,
 }
 
-// What entries of other zones need to know of a zone.
+// Summary of a zone for the entries of other zones.
 struct ZoneDigest {
   1: optional string zone,
   2: optional i64 version,
@@ -54,16 +54,16 @@
   5: optional i32 agents,
   6: optional i32 silent,
   7: optional list<ServiceSum> services,
-  // Time since it was made, added up on the way.
+  // Age of the summary, added up over the hops.
   8: optional i32 age_ms,
 }
 
-// Ask a peer for the instance list that it read last.
+// Ask a peer for the instance list that it last read.
 struct ListingPull {
 }
 
 struct Listing {
-  // Deflated JSON, lines as the platform gives them.
+  // Deflated JSON with the lines as the platform returned them.
   1: optional binary body,
 }
 
