--- a/packages/fescuedrum/src/fescuedrum/exceptions.py
+++ b/packages/fescuedrum/src/fescuedrum/exceptions.py
@@ -153,7 +153,7 @@
     code = "unknown"
     status = 502
     outcome = Outcome.UNKNOWN
-    remedy = "Repeat it with the same Idempotency-Key to learn what became of it."
+    remedy = "Repeat it with the same Idempotency-Key to learn its outcome."
 
 
 class AnswerTooLate(OutcomeUnknown):
@@ -190,8 +190,8 @@
 
     code = "key-not-checked"
     remedy = (
-        "This sending was not run; an earlier one under the key keeps the outcome it "
-        "was told. Repeat it with the same Idempotency-Key."
+        "This attempt was not run; an earlier one with the key keeps its reported "
+        "outcome. Repeat it with the same Idempotency-Key."
     )
 
 
@@ -278,7 +278,7 @@
 
     code = "change-invalid"
     status = 422
-    remedy = "Mend what the findings name and apply again."
+    remedy = "Correct what the findings name and apply again."
 
     def __init__(self, detail="", *, findings):
         super().__init__(detail)
@@ -304,7 +304,7 @@
 
     code = "change-unsettled"
     status = 503
-    remedy = "Apply it again with the same id: it takes effect once at most."
+    remedy = "Apply it again with the same id: it takes effect at most once."
 
 
 class PeerRefusedError(ProtocolError):
--- a/packages/fescuedrum/src/fescuedrum/explaining.py
+++ b/packages/fescuedrum/src/fescuedrum/explaining.py
@@ -37,7 +37,7 @@
         tables.ZoneTakenOut,
     )
 )
-# Frequent at a site; they are relevant only to requests sent to the same endpoint.
+# A site has many of these; they are relevant only to requests to the same endpoint.
 ENDPOINT_MESSAGES = frozenset(
     (tables.EndpointGone.message, tables.EndpointUnlisted.message)
 )
@@ -46,18 +46,18 @@
     ("time", "level", "logger", "message", "instance", "zone", "request", "routine")
 )
 CAUSES = {
-    "answer-lost": "an endpoint took it, and its answer was lost on the way",
-    "answer-overdue": "an endpoint took it and did not answer in the caller's time",
+    "answer-lost": "an endpoint received it, and its answer was lost on the way",
+    "answer-overdue": "an endpoint received it and did not answer before the deadline",
     "bad-request": "what the caller sent is malformed",
-    "body-too-slow": "its body did not come in the caller's time",
+    "body-too-slow": "its body did not arrive before the deadline",
     "body-too-large": "its body is longer than the configuration allows",
-    "deadline-passed": "its caller's time was over before it could be sent",
+    "deadline-passed": "its deadline passed before it could be sent",
     "group-down": "the engines' group was down: several endpoints refused at once",
-    "internal": "the gateway itself failed; its traceback stands beside these lines",
-    "overloaded": "no endpoint had a place for it",
+    "internal": "the gateway itself failed; its traceback is next to these lines",
+    "overloaded": "no endpoint had a free place for it",
     "unavailable": "no endpoint could be reached, or this process was stopping",
     "unknown-key": "its key belongs to no organisation in force there",
-    "unknown-route": "no route in force there leads from its host and path",
+    "unknown-route": "no route in force there matches its host and path",
 }
 
 
@@ -130,18 +130,18 @@
 def conclude(own, lines):
     """Return a sentence on how a request ended, from its last line."""
     last = own[-1]
-    trouble = describe_failures(own) + describe_stall(own, lines)
+    failures = describe_failures(own) + describe_stall(own, lines)
     match last.message:
         case requests.RequestRefused.message:
-            return f"Refused: {describe_cause(last.fields)}{trouble}."
+            return f"Refused: {describe_cause(last.fields)}{failures}."
         case requests.RequestEnded.message:
-            return f"{describe_end(last.fields)}{trouble}."
+            return f"{describe_end(last.fields)}{failures}."
         case requests.AnswerNotDelivered.message:
-            return f"Its answer was whole and not all of it left in time{trouble}."
+            return f"Its answer was whole and not all of it left in time{failures}."
         case requests.CallerLeft.message:
-            return f"{describe_disconnect(last.fields)}{trouble}."
+            return f"{describe_disconnect(last.fields)}{failures}."
         case _:
-            return f"Its end was not logged: {describe_process(last, lines)}{trouble}."
+            return f"Its end was not logged: {describe_process(last, lines)}{failures}."
 
 
 def describe_process(last, lines):
@@ -154,7 +154,7 @@
             return f"{instance} ended, and started again {seconds:.1f} s after it"
     if not later:
         return f"{instance} wrote nothing after it, and may have ended"
-    return f"{instance} went on; 'lines left out' tells of lines that were dropped"
+    return f"{instance} went on; 'lines left out' counts lines that were dropped"
 
 
 def describe_stall(own, lines):
@@ -198,7 +198,7 @@
         case requests.ANSWERED:
             return f"Answered after {seconds} s"
         case "failed":
-            return f"The endpoint's own failure was passed on ({detail})"
+            return f"The endpoint's own failure was forwarded ({detail})"
         case _:
             return f"Its answer was cut after {seconds} s ({detail})"
 
--- a/packages/fescuedrum/src/fescuedrum/logs.py
+++ b/packages/fescuedrum/src/fescuedrum/logs.py
@@ -13,7 +13,7 @@
 # Maps log fields of the process that change while it runs to functions that read them.
 live_fields = {}
 
-# Lines of this many seconds at the full rate may be written at once.
+# A burst of up to this many seconds' lines is logged in full.
 BURST_SECONDS = 2.0
 
 STANDARD_ATTRIBUTES = frozenset(
--- a/packages/fescuedrum/src/fescuedrum/management.py
+++ b/packages/fescuedrum/src/fescuedrum/management.py
@@ -12,7 +12,7 @@
   0  done
   1  the command failed; the message names the remedy
   2  wrong usage
-  3  faulty settings or document, or a gap in the trail; every fault is listed
+  3  invalid settings or document, or a gap in the audit trail; all errors listed
   4  another operator's change came first; both are shown
   5  not known whether the change was accepted; apply it again with the same id
 """
--- a/packages/fescuedrum/src/fescuedrum/metrics.py
+++ b/packages/fescuedrum/src/fescuedrum/metrics.py
@@ -30,7 +30,8 @@
 )
 LOOP_DELAY_BUCKETS = (0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.5, 1.0)
 LOOP_PROBE_SECONDS = 0.25
-# A delay of the event loop from which the process is logged as stalled.
+# Event-loop delay from which a process is logged as stalled: a request that waits for
+# so long is late in any case.
 STALLED_SECONDS = 0.2
 OTHER = "other"
 
--- a/packages/fescuedrum/src/fescuedrum/serving.py
+++ b/packages/fescuedrum/src/fescuedrum/serving.py
@@ -23,7 +23,7 @@
 FINAL_IDLE_SECONDS = 0.2
 # Time for a closed TLS connection to send what was written on it.
 TLS_CLOSE_SECONDS = 1.0
-# Interval between checks whether a stop may end; its margin is 0.6 s.
+# Interval between checks whether a stop may end, short against its margin of 0.6 s.
 STOP_POLL_SECONDS = 0.05
 
 
@@ -184,7 +184,7 @@
 
 
 async def wait_until_drained(plan, server, count_running):
-    """Wait until the stop plan lets the stop end, and close the plan.
+    """Wait until the plan allows the stop to end, then close the plan.
 
     Once the balancer has noticed the stop, requests come only on kept connections.
     These are closed while idle: a caller whose connection is closed connects to another
--- a/packages/fescuedrum/src/fescuedrum/tls.py
+++ b/packages/fescuedrum/src/fescuedrum/tls.py
@@ -26,7 +26,7 @@
         "", help="File of the authorities (PEM) that the other side is checked against."
     )
     server_name: str = setting(
-        "", help="Name that the server's certificate must carry; empty: its address."
+        "", help="Name that the server's certificate must have; empty: its address."
     )
 
     @property
--- a/tests/unit/test_process.py
+++ b/tests/unit/test_process.py
@@ -20,9 +20,9 @@
 
     async def run():
         stop = asyncio.Event()
-        lasting = asyncio.create_task(asyncio.sleep(100))
-        stop_on_failure([lasting], stop)
-        await cancel([lasting])
+        running = asyncio.create_task(asyncio.sleep(100))
+        stop_on_failure([running], stop)
+        await cancel([running])
         await asyncio.sleep(0)
         assert not stop.is_set()
         stop_on_failure([asyncio.create_task(fail())], stop)
--- a/tests/unit/test_tls.py
+++ b/tests/unit/test_tls.py
@@ -65,9 +65,9 @@
     _, server, port = await listen(ours.issue("agent"))
     # It trusts the agent but presents a certificate that the agent does not trust.
     issued = theirs.issue("entry")
-    stranger = TlsFiles(issued.certificate, issued.key, str(ours.path))
+    untrusted_files = TlsFiles(issued.certificate, issued.key, str(ours.path))
     with pytest.raises((OSError, asyncio.IncompleteReadError, AssertionError)):
-        await exchange(Peers([], stranger, None), port)
+        await exchange(Peers([], untrusted_files, None), port)
     with pytest.raises(ssl.SSLCertVerificationError):
         await exchange(Peers([], theirs.issue("other"), None), port)
     server.close()
