--- a/packages/fescuedrum/src/fescuedrum/conf/document/model.py
+++ b/packages/fescuedrum/src/fescuedrum/conf/document/model.py
@@ -146,9 +146,9 @@
 
 @dataclass(slots=True)
 class Endpoint:
-    """Describe an endpoint for which operators set a role or limits.
+    """Describe an endpoint that operators list, for example with limits of its own.
 
-    Endpoints without such settings announce themselves and need no entry here.
+    Endpoints that announce themselves need no entry here.
     """
 
     name: str = setting(help="Name of the endpoint, as in its agent's settings.")
--- a/packages/fescuedrum/src/fescuedrum/conf/document/validation.py
+++ b/packages/fescuedrum/src/fescuedrum/conf/document/validation.py
@@ -166,7 +166,7 @@
 
 
 def check_models(document, names):
-    """Report models without their version and adapters of unknown organisations."""
+    """Report models with an unlisted version and adapters of unknown organisations."""
     for index, model in enumerate(document.models):
         path = f"$.models[{index}]"
         if model.versions and model.version not in model.versions:
@@ -244,7 +244,7 @@
                 "document.W002",
                 f"{path}.endpoints",
                 f"The ranks are in {len(zones)} zones.",
-                "Keep a group in one zone: a cut between zones stops all ranks.",
+                "Keep a group in one zone: a cut between zones stops them all.",
             )
 
 
--- a/packages/fescuedrum/src/fescuedrum/conf/reference.py
+++ b/packages/fescuedrum/src/fescuedrum/conf/reference.py
@@ -122,7 +122,7 @@
 
 
 def nested_classes(cls):
-    """Return the data classes that a class contains, in order of first use."""
+    """Return the data classes nested in a class, in the order of first use."""
     found = []
     for kind in typing.get_type_hints(cls).values():
         for inner in [kind, *typing.get_args(kind)]:
--- a/packages/fescuedrum/src/fescuedrum/conf/rules.py
+++ b/packages/fescuedrum/src/fescuedrum/conf/rules.py
@@ -49,7 +49,7 @@
 
 
 def check_ports(settings, second):
-    """Report a setting of a second port that is equal to `port`."""
+    """Report a second listener that has the same port as the first."""
     if getattr(settings, second) == settings.port:
         hint = "Give it a port of its own, or 0 for none."
         message = "The port is the same as in $.port."
