--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/__init__.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Route callers to endpoints directly, configured by rows of the platform."""
+"""Route callers to endpoints directly, as configured in the platform's store."""
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/adapter.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/adapter.py
@@ -1,4 +1,4 @@
-"""Define what the gateway needs of the adapter that speaks for its platform."""
+"""Define the interface between the gateway and the adapter to its platform."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -12,28 +12,28 @@
 
 @dataclass(slots=True, frozen=True)
 class CallHead:
-    """Hold what a request's headers say."""
+    """Hold the decoded headers of a caller's request."""
 
     request_id: str
     # Key of the caller's organisation; empty when there is none.
     key: str
-    # How long the caller will wait, in seconds; None when it does not say.
-    patience: float | None
+    # How long the caller will wait, in seconds; None if it does not say.
+    seconds_left: float | None
     prompt_tokens: int
-    # Id of the last event that the caller has of a stream; empty at its start.
+    # Id of the last event of a stream that the caller has; empty for a new stream.
     last_event_id: str
-    # Headers that the endpoint gets as they came.
+    # Headers that are forwarded to the endpoint unchanged.
     headers: list[tuple[str, str]]
 
 
 @dataclass(slots=True, frozen=True)
-class SendHead:
-    """Hold what an endpoint is told beside the caller's own headers."""
+class ForwardHead:
+    """Hold what the gateway adds to a request that it forwards to an endpoint."""
 
-    # Identity that the endpoint must have, or it must not run the request.
+    # Name of the endpoint that is meant; any other one must not run the request.
     endpoint_name: str
-    # Time that is left to the caller, in seconds.
-    patience: float
+    # How long the caller will still wait, in seconds.
+    seconds_left: float
     # Name of the caller's organisation; empty when it has none.
     organisation: str
     # 0 is the most urgent.
@@ -43,30 +43,31 @@
 
 @dataclass(slots=True, frozen=True)
 class AnswerHead:
-    """Hold what an endpoint's status and headers say."""
+    """Hold the status and the decoded headers of an endpoint's answer."""
 
     status: int
-    # Id of the request that it answers; None when it names none.
+    # Id of the request that it answers; None if it names none.
     request_id: str | None
-    # The endpoint declares that it did not run the request and never will.
+    # Whether the endpoint declares that it did not run the request and never will.
     not_run: bool
-    # The endpoint signed the answer.
+    # Whether the endpoint signed the answer.
     signed: bool
-    # The body was changed on its way.
+    # Whether the body is encoded, so that a proxy has changed it.
     encoded: bool
-    # Headers that the caller gets.
+    # Headers that are passed on to the caller.
     headers: list[tuple[str, str]]
-    # What the endpoint takes from all gateways together.
+    # Requests a second that the endpoint accepts from all gateways together.
     rate: Rate = Unlimited()
 
     @property
     def succeeded(self):
+        """Return whether the status is one of success."""
         return 200 <= self.status < 300
 
 
 @dataclass(slots=True, frozen=True)
 class ZoneOut:
-    """Say that operators have taken a zone out of service."""
+    """Represent an operators' row that takes a zone out of service."""
 
     zone: str
 
@@ -74,40 +75,44 @@
 class Adapter(Protocol):
     """Translate between the platform's names and formats and the gateway's types."""
 
-    # Names of the store's tables.
+    # Names of tables of the platform's store.
     operators_table: str
     endpoints_table: str
     gateways_table: str
 
-    def open_store(self, base_url: str, session) -> RowStore: ...
+    def open_store(self, base_url: str, session) -> RowStore:
+        """Return the platform's store at a URL."""
+        ...
 
     def open_engines(self, session, link_megabits: float) -> EngineClient:
-        """Return the engines as they are reached over a link of so many Mbit/s."""
+        """Return the interface to the engines; their link has so many Mbit/s."""
         ...
 
     def read_operators_row(self, row: VersionedRow) -> RoutingDocument | ZoneOut | None:
-        """Decode a row of operators; None for one that says nothing to a gateway.
+        """Decode a row of the operators' table; return None if it isn't for gateways.
 
-        Raise RowNotUnderstood.
+        Raise RowNotUnderstood if it is malformed.
         """
         ...
 
     def read_endpoint(self, row: VersionedRow) -> ListedEndpoint:
-        """Decode a line of the list of endpoints; raise RowNotUnderstood."""
+        """Decode a row of the list of endpoints; raise RowNotUnderstood."""
         ...
 
     def read_call(self, headers) -> CallHead:
-        """Decode a request's headers; raise BadRequest."""
+        """Decode the headers of a caller's request; raise BadRequest."""
         ...
 
-    def write_call(self, head: CallHead, send: SendHead) -> list[tuple[str, str]]:
-        """Return the headers that an endpoint gets."""
+    def write_call(self, head: CallHead, send: ForwardHead) -> list[tuple[str, str]]:
+        """Return the headers of the request that is sent to an endpoint."""
         ...
 
-    def read_answer(self, status: int, headers) -> AnswerHead: ...
+    def read_answer(self, status: int, headers) -> AnswerHead:
+        """Decode the status and headers of an endpoint's answer."""
+        ...
 
     def refusal_headers(
         self, request_id: str, retry_after: float | None
     ) -> dict[str, str]:
-        """Return the headers of an answer that is the gateway's own."""
+        """Return the headers with which the gateway itself refuses a request."""
         ...
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/conf.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/conf.py
@@ -22,53 +22,54 @@
     )
     platform_url: str = setting(help="Base URL of the platform's store.")
     seeds: list[str] = setting(
-        list, help="HOST:PORT of gateways whose hosts are asked when the store is out."
+        list, help="HOST:PORT of gateways to contact even while the store is down."
     )
     stop_seconds: float = setting(
         8.0,
-        help="Time from SIGTERM to the end. With less than 5.1 s, requests with long "
-        "deadlines are refused from the signal on.",
+        help="Time from SIGTERM to the end of the process. If it is below 5.1 s, "
+        "requests with long deadlines are refused from the signal on.",
         minimum=0.5,
         unit="s",
     )
     retry_share: float = setting(
-        0.2, help="Repeats of a service allowed, as a share of its requests.", minimum=0
+        0.2, help="Retries allowed per service, as a share of its requests.", minimum=0
     )
     retry_slack: float = setting(
-        10.0, help="Repeats of a service allowed beyond that share.", minimum=0.0
+        10.0, help="Retries allowed per service beyond that share.", minimum=0.0
     )
     retry_window_seconds: float = setting(
-        10.0, help="Window in which repeats are counted.", minimum=0.1, unit="s"
+        10.0, help="Window in which retries are counted.", minimum=0.1, unit="s"
     )
     cold_factor: float = setting(
-        1.0, help="Multiple of its bound that a cold endpoint bears.", minimum=0.1
+        1.0, help="Factor on the request rate allowed to a cold endpoint.", minimum=0.1
     )
     cold_slack: float = setting(
-        0.0, help="Requests a second that it bears beyond that.", minimum=0.0
+        0.0, help="Requests a second allowed to it beyond that.", minimum=0.0
     )
     link_megabits: float = setting(
-        1000.0, help="Width of this machine's link.", minimum=0.1, unit="Mbit/s"
+        1000.0, help="Bandwidth of this machine's link.", minimum=0.1, unit="Mbit/s"
     )
     idle_seconds: float = setting(
-        75.0, help="Longest time a caller may send no request.", minimum=0.1, unit="s"
+        75.0, help="Longest idle time of a caller's connection.", minimum=0.1, unit="s"
     )
     maximum_header_bytes: int = setting(
-        16384, help="Longest line of a caller's head.", minimum=256, unit="B"
+        16384, help="Longest line in the head of a request.", minimum=256, unit="B"
     )
     maximum_header_count: int = setting(
-        100, help="Most headers taken from a caller.", minimum=8
+        100, help="Most headers accepted in a request.", minimum=8
     )
     log_lines_per_second: float = setting(
-        200.0, help="Most lines logged, on average.", minimum=1.0
+        200.0, help="Most log lines a second, on average.", minimum=1.0
     )
     log_level: str = setting("INFO", help="Lowest level that is logged.")
 
     @property
     def seed_hosts(self):
+        """Return the hosts of the seeds, without their ports."""
         return [seed.rpartition(":")[0] for seed in self.seeds]
 
     def check(self):
-        """Return the findings across fields."""
+        """Return the findings about addresses and the log level."""
         return [
             *rules.check_address("$.host", self.host),
             *rules.check_listener("$.callers_address", self.callers_address),
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/connection/__init__.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/connection/__init__.py
@@ -1,1 +1,1 @@
-"""Hold what lives as long as one connection."""
+"""Contain the code whose state lasts as long as one connection."""
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/connection/callers.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/connection/callers.py
@@ -1,4 +1,4 @@
-"""Serve callers' connections with bounds on their heads and their idle time."""
+"""Build the server for callers, with bounds on headers and on idle time."""
 
 import logging
 
@@ -14,22 +14,22 @@
 
 
 class CallerConnection(TrackedConnection):
-    """Answer malformed HTTP without a traceback in the log."""
+    """Handle one caller's connection; log malformed HTTP without a traceback."""
 
     __slots__ = ()
 
     def handle_error(self, request, status=500, exc=None, message=None):
-        """Answer what the HTTP parser refused, or a fault of this code."""
+        """Return the answer to malformed HTTP or to an error in the handler."""
         if status != BAD_REQUEST_STATUS:
             return super().handle_error(request, status, exc, message)
         log_event(logger, MalformedHttp(request.remote, str(exc)))
-        response = web.Response(status=status, text="The request is no valid HTTP.")
+        response = web.Response(status=status, text="The request is not valid HTTP.")
         response.force_close()
         return response
 
 
 def build_server(handle, settings):
-    """Return a server that cancels a request's handler when its caller leaves."""
+    """Return a server that cancels a request's handler when its caller disconnects."""
     return TrackingServer(
         handle,
         CallerConnection,
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/connection/endpoints.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/connection/endpoints.py
@@ -1,4 +1,4 @@
-"""Send one request to one endpoint over a connection of its own."""
+"""Send a request to an endpoint over a new connection and read the answer."""
 
 import socket
 
@@ -9,26 +9,26 @@
 from fescuedrum.once import SendOnceGuard, open_session
 from fescuedrum_gateway.request.call import Answered, Lost, NotRun
 
-# A connection opens within two ways of a few milliseconds; a lost packet is sent again
-# after a second, and another endpoint is sooner.
-CONNECT_SECONDS = 0.3
-# Bytes without an acknowledgement for so long mean that the path is gone; the longest
-# stall of an engine that still answers does not keep its machine from acknowledging.
-UNACKNOWLEDGED_MILLISECONDS = 1500
-# With these an idle connection whose other end vanished is noticed after 3 s.
+# A connection opens within one round trip of a few milliseconds. A lost packet would
+# only be sent again after a second; trying another endpoint is faster.
+CONNECT_TIMEOUT_SECONDS = 0.3
+# Sent bytes that are not acknowledged for this long mean that the path is down. An
+# engine that stalls does not delay this: its machine still acknowledges.
+UNACKNOWLEDGED_TIMEOUT_MILLISECONDS = 1500
+# With these values an idle connection whose peer has vanished is noticed after 3 s.
 KEEPALIVE_IDLE_SECONDS = 1
 KEEPALIVE_INTERVAL_SECONDS = 1
 KEEPALIVE_PROBES = 2
-# The library would add these to what the caller sent.
-OWN_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
+# Headers that the library would add to those of the caller.
+LIBRARY_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
 READ_BYTES = 64 * 1024
 
 
 def open_socket(address):
-    """Return a socket that notices a vanished peer.
+    """Return a socket that detects a vanished peer.
 
-    A machine that lost power or its path resets nothing: without these options a
-    connection to it stays open and silent until the caller's time is over.
+    A machine that lost power or connectivity sends no reset: without these options a
+    connection to it stays open and silent until the caller's deadline.
     """
     family, kind, protocol, *_ = address
     opened = socket.socket(family, kind, protocol)
@@ -38,21 +38,22 @@
     opened.setsockopt(tcp, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_SECONDS)
     opened.setsockopt(tcp, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_SECONDS)
     opened.setsockopt(tcp, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
-    opened.setsockopt(tcp, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MILLISECONDS)
+    opened.setsockopt(tcp, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MILLISECONDS)
     return opened
 
 
 def open_endpoint_session():
-    """Return a session that opens a connection for each request.
+    """Return a session that opens a new connection for each request.
 
-    On a kept connection a late second answer would be read as the next request's, and
-    a request that crosses the endpoint's close could not be told from one that ran.
+    On a reused connection a late second answer would be read as that of the next
+    request, and a request sent while the endpoint closes the connection could not be
+    told from one that ran.
     """
     return open_session(keep_connections=False, socket_factory=open_socket)
 
 
-class Opened:
-    """Hold an answer whose head has come and whose body is still to be read."""
+class OpenedAnswer:
+    """Hold an answer whose head has been read and whose body has not."""
 
     __slots__ = ("head", "protocol", "response")
     __match_args__ = ("head",)
@@ -71,22 +72,24 @@
             return Lost(f"answer broke off: {error!r}")
         finally:
             self.response.close()
-        if not self.ended_properly():
-            return Lost("answer without a length was reset")
+        if not self.is_complete():
+            return Lost("connection was reset in an answer without a length")
         return Answered(self.head, body)
 
     async def chunks(self):
-        """Yield the body as it comes; raise ClientError when it breaks off."""
+        """Yield the body as it arrives; raise ClientError if it breaks off."""
         while chunk := await self.response.content.readany():
             yield chunk
-        if not self.ended_properly():
-            raise aiohttp.ClientPayloadError("a body without a length was reset")
+        if not self.is_complete():
+            raise aiohttp.ClientPayloadError(
+                "connection was reset in a body without a length"
+            )
 
-    def ended_properly(self):
-        """Tell whether the body that was read is whole.
+    def is_complete(self):
+        """Return whether the body that was read is complete.
 
-        A body without a length ends with its connection, and the library takes a reset
-        for such an end: half an answer would pass for a whole one.
+        A body without a length ends when its connection does, and the library treats a
+        reset as such an end: half an answer would pass for a whole one.
         """
         headers = self.response.headers
         if hdrs.CONTENT_LENGTH in headers or hdrs.TRANSFER_ENCODING in headers:
@@ -96,11 +99,12 @@
         return not isinstance(self.protocol.exception(), aiohttp.ClientOSError)
 
     def close(self):
+        """Close the connection."""
         self.response.close()
 
 
-async def open_answer(session, adapter, call, endpoint, send):
-    """Send a call to an endpoint: Opened, NotRun or Lost."""
+async def send_call(session, adapter, call, endpoint, send):
+    """Send a call to an endpoint; return OpenedAnswer, NotRun or Lost."""
     url = URL(f"http://{endpoint.host}:{endpoint.port}{call.target}", encoded=True)
     try:
         response = await session.request(
@@ -109,35 +113,40 @@
             headers=adapter.write_call(call.head, send),
             data=call.body or None,
             allow_redirects=False,
-            skip_auto_headers=OWN_HEADERS,
-            timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_SECONDS),
+            skip_auto_headers=LIBRARY_HEADERS,
+            timeout=aiohttp.ClientTimeout(
+                total=None, sock_connect=CONNECT_TIMEOUT_SECONDS
+            ),
             trace_request_ctx=SendOnceGuard(),
         )
     except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
-        # No connection, so that nothing of the request has left.
+        # No connection was opened, so nothing of the request was sent.
         return NotRun(f"no connection: {error!r}")
     except (TimeoutError, aiohttp.ClientError, OSError) as error:
         return Lost(f"no answer: {error!r}")
     head = adapter.read_answer(response.status, response.headers)
-    return await judge_head(head, response, call)
+    return await classify_answer(head, response, call)
 
 
-async def judge_head(head, response, call):
-    """Tell an answer of this request from anything else."""
+async def classify_answer(head, response, call):
+    """Return OpenedAnswer for an endpoint's answer to this call, NotRun or Lost."""
     if head.not_run and head.request_id in (None, call.head.request_id):
         return await read_refusal(head, response)
     if head.request_id != call.head.request_id:
-        # A late answer to an earlier request, or bytes of no request at all.
+        # A late answer to an earlier request, or bytes that belong to no request.
         response.close()
         return Lost("answer of another request")
     if head.encoded or (head.succeeded and not head.signed):
         response.close()
         return Lost("answer is not the endpoint's own")
-    return Opened(head, response)
+    return OpenedAnswer(head, response)
 
 
 async def read_refusal(head, response):
-    """Read the body of a refusal; its status alone proves that nothing ran."""
-    read = await Opened(head, response).read()
+    """Return NotRun with an endpoint's refusal, without a body if reading it fails.
+
+    The head alone proves that the request was not run.
+    """
+    read = await OpenedAnswer(head, response).read()
     answer = read if isinstance(read, Answered) else Answered(head, b"")
     return NotRun(f"refused with {head.status}", answer)
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/__init__.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/__init__.py
@@ -1,1 +1,1 @@
-"""Hold what lives as long as the process."""
+"""Contain the code whose state lasts as long as the process."""
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/directory.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/directory.py
@@ -1,4 +1,4 @@
-"""Know the endpoints, what is at each of them, and which may get work."""
+"""Track the endpoints of all services and choose one for each request."""
 
 import asyncio
 import collections
@@ -48,7 +48,7 @@
 
 
 class Reservation:
-    """Charge an endpoint with one request until it is released."""
+    """Count one request and its prompt tokens at an endpoint until its release."""
 
     __slots__ = ("directory", "load", "tokens", "zone")
 
@@ -63,18 +63,19 @@
         directory.announce_change(zone)
 
     def mark_prompt_read(self):
-        """Take the prompt's tokens off: the endpoint writes now."""
+        """Subtract the prompt's tokens, as the endpoint has begun its answer."""
         self.load.unread_tokens -= self.tokens
         self.tokens = 0
 
     def release(self):
+        """Subtract the request, and its prompt's tokens if they still count."""
         self.mark_prompt_read()
         self.load.requests -= 1
         self.directory.announce_change(self.zone)
 
 
 class EndpointDirectory:
-    """Hold the endpoints of all services and choose among them."""
+    """Hold the endpoints of all services and choose an endpoint for a request."""
 
     __slots__ = (
         "adapter",
@@ -98,7 +99,7 @@
         self.adapter = adapter
         self.configuration = configuration
         self.peers = peers
-        # PassTimer by name of service, as the own streams show it.
+        # PassTimer by name of service, measured on this gateway's own streams.
         self.pass_timers = pass_timers
         self.random = random
         self.loop = asyncio.get_running_loop()
@@ -108,13 +109,13 @@
         self.shares = BoundShares(settings.host, settings.zone)
         self.rate_limits = RateLimits()
         self.zones_out = {}
-        # Called with the zone of an endpoint at which the own load changes.
+        # Called with an endpoint's zone when this gateway's load there changes.
         self.announce_change = lambda zone: None
 
-    # What the platform tells
+    # Rows of the platform's store
 
     def take_endpoint_rows(self, rows):
-        """Take changed lines of the list of endpoints."""
+        """Apply changed rows of the list of endpoints."""
         now = self.loop.time()
         for row in rows:
             if row.value is None:
@@ -122,14 +123,15 @@
                 self.forget(row.key)
                 log_event(logger, EndpointUnlisted(row.key, row.version))
             else:
-                self.take_endpoint(row, now)
+                self.apply_endpoint_row(row, now)
         self.expire()
 
-    def take_endpoint(self, row, now):
+    def apply_endpoint_row(self, row, now):
+        """List the endpoint of a row; unlist it if the row can't be decoded."""
         try:
             endpoint = self.adapter.read_endpoint(row)
         except RowNotUnderstood as error:
-            # It names no endpoint; the others of the list hold.
+            # Only this row is dropped; the other rows of the list stay valid.
             self.presences.unlisted(row.key, now)
             log_event(
                 logger, EndpointRowNotUnderstood(row.key, row.version, error.detail)
@@ -137,7 +139,7 @@
             return
         known = self.presences.by_name.get(endpoint.name)
         if known is not None and known.endpoint.started_at != endpoint.started_at:
-            # The same name, but nothing of its former life holds.
+            # The endpoint has restarted under its name: its earlier state is invalid.
             self.histories.pop(endpoint.name, None)
             self.rate_limits.forget(endpoint.name)
         self.presences.listed(endpoint)
@@ -152,46 +154,49 @@
             )
             log_event(logger, event)
 
-    def take_zone(self, row):
-        """Take a row that says whether a zone is out of service."""
-        said = self.adapter.read_operators_row(row) if row.value is not None else None
-        if isinstance(said, ZoneOut):
-            self.zones_out[row.key] = said.zone
-            log_event(logger, ZoneTakenOut(said.zone, row.key, row.version))
+    def apply_zone_row(self, row):
+        """Apply a row by which operators take a zone out of service or put it back."""
+        decoded = (
+            self.adapter.read_operators_row(row) if row.value is not None else None
+        )
+        if isinstance(decoded, ZoneOut):
+            self.zones_out[row.key] = decoded.zone
+            log_event(logger, ZoneTakenOut(decoded.zone, row.key, row.version))
         elif self.zones_out.pop(row.key, None) is not None:
             log_event(logger, ZoneTakenBack(row.key, row.version))
 
     def expire(self):
-        """Drop endpoints whose entries lapsed and did not come back."""
+        """Drop endpoints whose rows were deleted and not written again in time."""
         for name in self.presences.expire(self.loop.time()):
             self.forget(name)
             log_event(logger, EndpointGone(name))
 
     def forget(self, name: str) -> None:
-        """Drop what is known beyond the list of an endpoint that is gone."""
+        """Drop the bound shares and the rate limit of an endpoint that is gone."""
         self.shares.forget(name)
         self.rate_limits.forget(name)
 
     # Rate limits
 
     def record_rate(self, endpoint: ListedEndpoint, rate: Rate) -> None:
-        """Take what an endpoint's own answer says of its rate."""
+        """Record the rate limit that an endpoint named in its own answer."""
         if isinstance(rate, NotUnderstood):
             log_event(logger, EndpointRateNotUnderstood(endpoint.name, rate.text))
         if self.rate_limits.observe(endpoint.name, rate, self.loop.time()):
-            self.tell_rate(endpoint.name, rate, "")
+            self.log_rate(endpoint.name, rate, "")
 
     def merge_rate_reports(
         self, host: str, reports: list[tuple[str, RateReport]]
     ) -> None:
-        """Take what another gateway was told of endpoints' rates."""
+        """Merge the rate limits that endpoints named to another gateway."""
         for endpoint, report in reports:
             if endpoint not in self.presences.by_name:
                 continue
             if self.rate_limits.merge(endpoint, report):
-                self.tell_rate(endpoint, report.rate, host)
+                self.log_rate(endpoint, report.rate, host)
 
-    def tell_rate(self, endpoint: str, rate: Limited | Unlimited, host: str) -> None:
+    def log_rate(self, endpoint: str, rate: Limited | Unlimited, host: str) -> None:
+        """Log an endpoint's new rate limit; host is empty if it named it itself."""
         match rate:
             case Limited(per_second):
                 log_event(logger, EndpointLimited(endpoint, per_second, host))
@@ -201,48 +206,51 @@
     # Choosing
 
     def choose_endpoint(self, service, tried, is_caller_retry):
-        """Return Chosen or Refused for a request, never what was tried before."""
+        """Return Chosen with an untried endpoint for a request, or Refused."""
         self.expire()
         zones_out = set(self.zones_out.values())
         usable = [
             each for each in self.presences.ready(service) if each.zone not in zones_out
         ]
-        fresh = [each for each in usable if each.name not in tried]
-        if not fresh and tried:
+        untried = [each for each in usable if each.name not in tried]
+        if not untried and tried:
             return Refused(RefusalCause.NONE_LISTED)
         loads = self.peers.loads()
         now, limits = (
             self.loop.time(),
             self.limits(service, is_caller_retry, len(usable)),
         )
-        mesh = [each for each in fresh if self.is_in_mesh(each)]
-        if len(mesh) < len(fresh):
-            # Most requests end here: a large fleet's endpoints are not all looked at.
-            options = [self.option(each, loads[each.name]) for each in mesh]
+        mesh = [each for each in untried if self.is_in_mesh(each)]
+        if len(mesh) < len(untried):
+            # Most requests are placed here, which saves building an option for every
+            # endpoint of a large fleet.
+            options = [self.build_option(each, loads[each.name]) for each in mesh]
             if placed := choose_healthy(options, limits, now, self.random):
                 return placed
-        options = [self.option(each, loads[each.name]) for each in fresh]
+        options = [self.build_option(each, loads[each.name]) for each in untried]
         return choose_endpoint(options, limits, now, self.random)
 
     def is_in_mesh(self, endpoint: ListedEndpoint) -> bool:
-        """Tell whether changes of an endpoint's load are told promptly."""
+        """Return whether gateways announce load changes at an endpoint promptly."""
         return self.peers.is_one_mesh or endpoint.zone == self.settings.zone
 
-    def option(self, endpoint, elsewhere):
+    def build_option(self, endpoint, other_load):
+        """Return an endpoint's Option; other_load is what other gateways have there."""
         history = self.histories[endpoint.name]
         load = Load(
-            history.own.requests + elsewhere.requests,
-            history.own.unread_tokens + elsewhere.unread_tokens,
+            history.own.requests + other_load.requests,
+            history.own.unread_tokens + other_load.unread_tokens,
         )
         same_zone = endpoint.zone == self.settings.zone
         return Option(endpoint, load, history, same_zone, self.is_in_mesh(endpoint))
 
     def limits(self, service, is_caller_retry, endpoints):
-        described = self.configuration.table.services.get(service)
-        if described is None:
+        """Return the PlacementLimits of a request; endpoints is how many are usable."""
+        routed_service = self.configuration.table.services.get(service)
+        if routed_service is None:
             return PlacementLimits()
         self.shares.follow(self.peers.sharing_zones())
-        is_engine = described.engine is not None
+        is_engine = routed_service.engine is not None
         strain = self.strain(service) if is_engine else 0.0
         return PlacementLimits(
             request_limit=lambda endpoint: request_limit(
@@ -252,17 +260,21 @@
                 strain=strain,
                 ranks=endpoints,
             ),
-            arrivals=self.arrivals(described),
-            rated_arrivals=self.rated_arrivals,
+            arrivals=self.build_cold_bound(routed_service),
+            rated_arrivals=self.rate_bound,
             candidates=sample_size(self.peers.mesh_size),
         )
 
-    def arrivals(
-        self, described: RoutedService
+    def build_cold_bound(
+        self, routed_service: RoutedService
     ) -> Callable[[ListedEndpoint], int] | None:
-        """Return the bound on what this gateway may send an endpoint in a second."""
+        """Return a function for the requests a second allowed to a cold endpoint.
+
+        It returns this gateway's share of an endpoint's bound. Return None if the
+        service has no such bound.
+        """
         total = cold_request_limit(
-            described.cold_per_second,
+            routed_service.cold_per_second,
             self.settings.cold_factor,
             self.settings.cold_slack,
         )
@@ -270,30 +282,31 @@
             return None
         return lambda each: self.shares.allowed(each.name, each.zone, total)
 
-    def rated_arrivals(self, endpoint: ListedEndpoint) -> int | None:
-        """Return this gateway's part of an endpoint's rate; None without a limit."""
+    def rate_bound(self, endpoint: ListedEndpoint) -> int | None:
+        """Return this gateway's share of an endpoint's rate limit, or None."""
         total = self.rate_limits.requests(endpoint.name, self.loop.time())
         if total is None:
             return None
         return self.shares.allowed(endpoint.name, endpoint.zone, total)
 
     def strain(self, service):
-        """Return the length of passes over the pause allowed; 0 when unknown."""
+        """Return the duration of a pass over the pause allowed; 0 if unknown."""
         pause = self.configuration.table.allowed_pauses.get(service)
         current = self.pass_timers[service].current_pass_seconds(self.loop.time())
         return current / pause if pause and current else 0.0
 
     def history(self, endpoint):
+        """Return what this gateway knows of an endpoint beyond its row."""
         return self.histories[endpoint.name]
 
     def reserve(self, endpoint, tokens):
-        """Charge an endpoint with a request that is about to be sent."""
+        """Return a Reservation for a request that is about to be sent."""
         history = self.histories[endpoint.name]
         history.sent(self.loop.time())
         return Reservation(self, endpoint.zone, history.own, tokens)
 
     def own_loads(self):
-        """Return (name, load) of each endpoint at which this process has requests."""
+        """Return (name, load) for each endpoint with requests of this gateway."""
         return [
             (name, history.own)
             for name, history in self.histories.items()
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/followers.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/followers.py
@@ -1,4 +1,8 @@
-"""Keep copies of the platform's tables up to date, from the store and from peers."""
+"""Keep copies of the platform's tables up to date, from the store and from peers.
+
+Only a few gateways follow the store themselves; the others pull changes from those
+(fescuedrum.decisions.following).
+"""
 
 import asyncio
 import base64
@@ -16,50 +20,54 @@
 
 logger = logging.getLogger(__name__)
 
-# Longest wait of one call for changes. A call costs; a store that takes calls of one
-# machine and answers none of them is noticed when the wait is over.
-WAIT_SECONDS = 10.0
-# Pause after a change, so that those which follow it come with one call: engines that
-# register at a start, or configurations in quick succession, would cost a call each.
-GATHER_SECONDS = 0.1
-# Time between looks of a gateway that rests at whether others still follow the store:
-# as long as the longest time between two of their beacons.
-REST_SECONDS = 0.4
-# Pauses between calls to a store that does not answer: within the two seconds in which
-# a configuration must be in force there is room for several.
+# Longest wait of one call for changes. Each call costs money, so a long wait saves
+# calls; but a store that accepts a machine's calls and answers none of them is only
+# noticed after this time.
+LONG_POLL_SECONDS = 10.0
+# Pause after a change, so that one call returns all changes that follow it shortly.
+# Otherwise each engine that registers at a start, and each of several configurations
+# in quick succession, would cost a call.
+BATCH_SECONDS = 0.1
+# Time between checks of a gateway that does not follow the store that enough others
+# do: as long as the longest time between two of their beacons.
+IDLE_CHECK_SECONDS = 0.4
+# Pauses between calls to a store that does not answer. Several calls fit into the two
+# seconds within which a configuration must be in force.
 FIRST_RETRY_SECONDS = 0.1
 LONGEST_RETRY_SECONDS = 0.8
-# A read that is older than what is known is tried again after this.
+# Pause before reading again after a read that was older than the copy.
 STALE_RETRY_SECONDS = 0.25
-# How long the store has to bring what a peer already has.
-PEER_GRACE_SECONDS = 0.15
-# Time over which gateways that rest ask for a change, for each gateway there is.
+# Time that the store gets to deliver a change that a peer already has.
+STORE_HEAD_START_SECONDS = 0.15
+# Gateways that don't follow the store spread their requests for a change over this
+# time, multiplied by the number of gateways.
 SPREAD_SECONDS_PER_GATEWAY = 0.002
-# A whole table of some hundred kilobytes comes within tenths; another peer is asked
-# after this, still within the time in which a change must be in force.
+# A whole table of some hundred kilobytes arrives within tenths of a second. After this
+# timeout another peer is asked, still within the time in which a change must be in
+# force.
 PEER_TIMEOUT_SECONDS = 1.0
 CHANGES_PATH = "/changes"
-# Longer answers to peers are compressed.
-COMPRESSED_BYTES = 4096
+# Answers to peers that are longer than this are compressed.
+COMPRESSION_THRESHOLD_BYTES = 4096
 
 
 class TableFollower:
-    """Own the copy of one table; take(rows) is called with rows that are new."""
+    """Keep the copy of one table up to date and pass its new rows to on_rows."""
 
     __slots__ = (
         "confirmed_at",
         "loop",
         "name",
+        "on_rows",
+        "on_store_state_change",
         "peers",
-        "pulling",
+        "pull_task",
         "random",
         "replica",
         "session",
         "settings",
         "store",
         "store_answers",
-        "store_changed",
-        "take",
     )
 
     def __init__(self, name, replica, store, peers, session, settings, random):
@@ -71,73 +79,75 @@
         self.settings = settings
         self.random = random
         self.loop = asyncio.get_running_loop()
-        # Whether the store's last call was answered; None while others follow it.
+        # Whether the store answered the last call; None while others follow the store.
         self.store_answers = None
-        # When the store, or a gateway that it answers, last told what the copy has.
+        # When the store, or a gateway that it answers, last confirmed the copy.
         self.confirmed_at = None
-        self.pulling = None
-        self.take = lambda rows: None
-        # Called before rows are taken when the store falls silent or answers again.
-        self.store_changed = lambda: None
+        self.pull_task = None
+        self.on_rows = lambda rows: None
+        # Called when the store stops answering or answers again, before rows are
+        # applied.
+        self.on_store_state_change = lambda: None
 
     async def run(self):
-        """Follow the store for ever, but while enough others do so."""
+        """Follow the store for ever, except while enough other gateways do."""
         pause = FIRST_RETRY_SECONDS
-        whole = True
+        read_whole = True
         while True:
             if self.replica.loaded and not self.peers.must_follow_store():
-                self.rest()
-                whole = False
-                await asyncio.sleep(REST_SECONDS)
+                self.stop_following()
+                read_whole = False
+                await asyncio.sleep(IDLE_CHECK_SECONDS)
                 continue
             try:
-                whole = await self.step(whole)
+                read_whole = await self.call_store(read_whole)
                 pause = FIRST_RETRY_SECONDS
             except HistoryLost:
                 log_event(logger, events.HistoryLost(self.name))
-                whole = True
+                read_whole = True
             except StoreUnavailable as error:
-                self.note_answers(False, error.detail)
+                self.record_store_answer(False, error.detail)
                 await asyncio.sleep(pause)
                 pause = min(pause * 2, LONGEST_RETRY_SECONDS)
 
-    async def step(self, whole):
-        """Make one call to the store; return whether the next must read all."""
-        if not whole:
+    async def call_store(self, read_whole):
+        """Make one call to the store; return whether the next must read all rows."""
+        if not read_whole:
             changes = await self.store.wait_for_changes(
-                self.replica.table, self.replica.version, WAIT_SECONDS
+                self.replica.table, self.replica.version, LONG_POLL_SECONDS
             )
-            self.note_answers(True)
+            self.record_store_answer(True)
             self.apply(changes, "store")
             if changes.rows:
-                await asyncio.sleep(GATHER_SECONDS)
+                await asyncio.sleep(BATCH_SECONDS)
             return False
         changes = await self.store.read_table(self.replica.table)
-        self.note_answers(True)
+        self.record_store_answer(True)
         if changes.version < self.replica.version:
-            # The store answers from behind: what is in force here is newer.
-            known = self.replica.version
-            log_event(logger, events.StaleRead(self.name, changes.version, known))
+            # A lagging replica of the store answered: the copy here is newer.
+            copied = self.replica.version
+            log_event(logger, events.StaleRead(self.name, changes.version, copied))
             await asyncio.sleep(STALE_RETRY_SECONDS)
             return True
         self.apply(changes, "store")
         return False
 
-    def rest(self):
-        """Leave the store to others."""
+    def stop_following(self):
+        """Note that other gateways follow the store in place of this one."""
         if self.store_answers is not None:
             log_event(logger, events.StoreLeftToOthers(self.name))
             self.store_answers = None
 
-    def note_answers(self, answers, detail=""):
-        if answers == self.store_answers:
+    def record_store_answer(self, answered, detail=""):
+        """Record whether the store answered a call; log it if that has changed."""
+        if answered == self.store_answers:
             return
-        self.store_answers = answers
-        if answers:
+        self.store_answers = answered
+        if answered:
             log_event(logger, events.StoreAnswers(self.name))
         else:
             log_event(logger, events.StoreLost(self.name, detail))
-        self.store_changed()
+        self.on_store_state_change()
 
     @property
     def age(self):
@@ -147,6 +157,7 @@
         return self.loop.time() - self.confirmed_at
 
     def apply(self, changes, source):
+        """Apply changes from a source to the copy and pass on the rows that are new."""
         self.confirmed_at = self.loop.time()
         before = self.replica.version
         rows = self.replica.apply(changes)
@@ -160,47 +171,51 @@
             source=source,
         )
         log_event(logger, event)
-        self.take(rows)
+        self.on_rows(rows)
+
+    # Changes from peers
 
-    # From peers
+    def on_peer_beacon(self, peer):
+        """Start to pull changes if a peer's beacon shows a newer version.
 
-    def peer_heard(self, peer):
-        """Learn from a peer that is ahead, unless the store brings it at once."""
-        told = peer.versions.get(self.name, -1)
-        if told > self.replica.version:
-            if self.pulling is None:
-                self.pulling = asyncio.create_task(self.pull())
-        elif told == self.replica.version and peer.store_answers:
+        A beacon with the same version confirms the copy if the store answers that peer.
+        """
+        peer_version = peer.versions.get(self.name, -1)
+        if peer_version > self.replica.version:
+            if self.pull_task is None:
+                self.pull_task = asyncio.create_task(self.pull())
+        elif peer_version == self.replica.version and peer.store_answers:
             self.confirmed_at = self.loop.time()
 
     async def pull(self):
+        """Ask peers with a newer copy for changes until one of them answers."""
         try:
             await asyncio.sleep(self.pause_before_pull())
             ahead = self.peers.peers_ahead_of(self.name, self.replica.version)
-            # Those of the own zone are nearer, and most of its gateways learn what is
-            # new from each other.
+            # Peers in the same zone are nearer, and asking them first keeps most of
+            # the traffic within the zone.
             self.random.shuffle(ahead)
             ahead.sort(key=lambda peer: peer.zone != self.settings.zone)
             for peer in ahead:
                 if await self.pull_from(peer):
                     return
         finally:
-            self.pulling = None
+            self.pull_task = None
 
     def pause_before_pull(self) -> float:
-        """Return the seconds to wait before a change is asked of peers.
+        """Return the seconds to wait before asking peers for a change.
 
-        All gateways that leave the store to others hear of a change from the same one,
-        at the same moment. A hundred of them share its link, and none has the change
-        before it gives up; a little later several have it to give.
+        All gateways that don't follow the store hear of a change from the same gateway
+        at the same moment. If a hundred of them asked it at once, they would share its
+        link, and all would time out; a little later several gateways have the change.
         """
         if self.store_answers:
-            return PEER_GRACE_SECONDS
+            return STORE_HEAD_START_SECONDS
         spread = self.peers.count_sharing_gateways() * SPREAD_SECONDS_PER_GATEWAY
         return self.random.uniform(0.0, spread)
 
     async def pull_from(self, peer):
-        """Take what a peer has; tell whether it answered."""
+        """Apply the changes that a peer has; return whether it answered."""
         url = f"http://{peer.host}:{self.settings.peer_port}{CHANGES_PATH}"
         params = {"table": self.name, "after": str(self.replica.version)}
         timeout = aiohttp.ClientTimeout(total=PEER_TIMEOUT_SECONDS)
@@ -214,23 +229,25 @@
         return True
 
     def dump_changes_after(self, after):
-        """Return what a peer at a version lacks, as JSON."""
+        """Return the changes after a version, ready for JSON."""
         return dump_changes(self.replica.changes_after(after))
 
 
 def add_routes(application, followers):
-    """Let peers ask for changes."""
+    """Add the route on which peers ask for changes."""
     by_name = {each.name: each for each in followers}
 
     async def get_changes(request):
+        """Answer with the changes of a table after a version."""
         follower = by_name.get(request.query.get("table", ""))
         after = request.query.get("after", "")
         if follower is None or not after.lstrip("-").isdigit():
             return web.Response(status=400, text="Name a table and a version.")
         response = web.json_response(follower.dump_changes_after(int(after)))
-        if len(response.body) > COMPRESSED_BYTES:
-            # A configuration of a thousand routes is half a megabyte; where a hundred
-            # gateways ask six for it over narrow links, none has it in time.
+        if len(response.body) > COMPRESSION_THRESHOLD_BYTES:
+            # A configuration of a thousand routes is half a megabyte. Uncompressed, it
+            # would not reach a hundred gateways in time that ask six others for it over
+            # narrow links.
             response.enable_compression()
         return response
 
@@ -238,6 +255,7 @@
 
 
 def dump_changes(changes):
+    """Return changes as a dictionary for JSON."""
     return {
         "version": changes.version,
         "whole": changes.whole,
@@ -255,7 +273,7 @@
 
 
 def load_changes(data):
-    """Build changes from a peer's JSON; raise ValueError when it is malformed."""
+    """Return the Changes in a peer's JSON; raise ValueError if it is malformed."""
     try:
         rows = [load_row(row) for row in data["rows"]]
         return Changes(rows, int(data["version"]), bool(data["whole"]))
@@ -264,6 +282,7 @@
 
 
 def load_row(data):
+    """Return the row in one element of a peer's JSON."""
     value = data["value"]
     decoded = None if value is None else base64.b64decode(value)
     return VersionedRow(data["key"], decoded, int(data["version"]))
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/gateway.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/gateway.py
@@ -1,4 +1,4 @@
-"""Tie the parts of the gateway process together."""
+"""Assemble a gateway process: its parts, its servers, its start and its stop."""
 
 import asyncio
 import collections
@@ -49,30 +49,32 @@
 
 logger = logging.getLogger(__name__)
 
-# Pause before the own address is written again; the seeds serve meanwhile.
-ANNOUNCE_RETRY_SECONDS = 1.0
-# Pause before a failed task runs again, so that a lasting fault does not fill the log.
-FAILED_TASK_SECONDS = 0.5
-# New connections that may wait to be accepted: a burst must not have to dial again.
+# Pause before writing this gateway's address again after a failure. Until then other
+# gateways are found through the seeds.
+REGISTER_RETRY_SECONDS = 1.0
+# Pause before restarting a failed task, so that a lasting fault does not fill the log.
+TASK_RESTART_SECONDS = 0.5
+# New connections that may wait to be accepted. With fewer, a burst of callers would
+# have to connect again.
 ACCEPT_BACKLOG = 1024
 
 
 class Gateway:
-    """Own the configuration, the directory and the servers of one gateway process."""
+    """Own the configuration, the endpoints and the servers of one gateway process."""
 
     __slots__ = (
         "adapter",
-        "callers",
+        "caller_server",
         "configuration",
         "directory",
         "followers",
         "incarnation",
         "metrics",
         "pass_timers",
-        "patience",
+        "patience_trackers",
         "peers",
         "random",
-        "reread",
+        "read_settings",
         "retries",
         "running",
         "session",
@@ -82,17 +84,17 @@
         "store_session",
     )
 
-    def __init__(self, settings, adapter, incarnation, reread=None):
+    def __init__(self, settings, adapter, incarnation, read_settings=None):
         self.settings = settings
-        # Returns the settings as they are now, or None when they can't be used.
-        self.reread = reread or (lambda: None)
+        # Returns the settings as they are now, or None if they are invalid.
+        self.read_settings = read_settings or (lambda: None)
         self.adapter = adapter
         self.incarnation = incarnation
         self.random = random.Random(incarnation)
         self.configuration = RoutingConfiguration()
         self.peers = Peers(settings, incarnation)
         self.peers.build_beacon = self.build_beacon
-        # Length of passes by name of service, as the own streams show it.
+        # Duration of passes by name of service, measured on this gateway's streams.
         self.pass_timers = collections.defaultdict(PassTimer)
         self.directory = EndpointDirectory(
             settings,
@@ -103,12 +105,12 @@
             self.random,
         )
         self.directory.announce_change = self.peers.announce_change
-        self.patience = collections.defaultdict(PatienceTracker)
-        self.retries = collections.defaultdict(self.build_retries)
+        self.patience_trackers = collections.defaultdict(PatienceTracker)
+        self.retries = collections.defaultdict(self.build_retry_budget)
         self.followers = []
-        # The server that holds callers' connections.
-        self.callers = build_server(RequestHandler(self).handle, settings)
-        # Set once the process was told to stop.
+        # Server for the callers' connections.
+        self.caller_server = build_server(RequestHandler(self).handle, settings)
+        # Set once the process has been told to stop.
         self.stop_plan = None
         self.metrics = GatewayMetrics()
         self.metrics.watch(self)
@@ -117,14 +119,15 @@
         self.store = None
         self.store_session = None
 
-    def build_retries(self):
+    def build_retry_budget(self):
+        """Return the budget of retries of one service."""
         settings = self.settings
         return SharedRetryBudget(
             settings.retry_share, settings.retry_slack, settings.retry_window_seconds
         )
 
     async def run(self, stop):
-        """Serve until stop, an event, is set; then drain."""
+        """Serve until the event stop is set; then drain and close everything."""
         on_reload(self.reload)
         connector = aiohttp.TCPConnector(limit=0, socket_factory=open_socket)
         async with (
@@ -137,36 +140,41 @@
             self.build_followers()
             await self.peers.open()
             runners = await self.listen()
-            lasting = [each.run for each in self.followers]
+            background_tasks = [each.run for each in self.followers]
             engines = self.adapter.open_engines(
                 self.store_session, self.settings.link_megabits
             )
-            duty = GroupSupervisor(self, engines)
-            lasting += [
+            supervisor = GroupSupervisor(self, engines)
+            background_tasks += [
                 self.peers.run,
-                self.announce,
-                duty.run,
+                self.register_address,
+                supervisor.run,
                 self.measure_loop_delay,
             ]
-            tasks = [asyncio.create_task(keep_running(work)) for work in lasting]
+            tasks = [
+                asyncio.create_task(rerun_on_error(work)) for work in background_tasks
+            ]
             log_event(logger, GatewayStarted(__version__))
             await stop.wait()
             await self.drain()
-            callers, own = runners
-            await serving.wait_for_delivery(self.stop_plan, self.callers, callers)
-            cut = len(self.callers.connections)
-            await callers.cleanup()
-            await own.cleanup()
+            caller_runner, control_runner = runners
+            await serving.wait_for_delivery(
+                self.stop_plan, self.caller_server, caller_runner
+            )
+            cut_connections = len(self.caller_server.connections)
+            await caller_runner.cleanup()
+            await control_runner.cleanup()
             await cancel(tasks)
             self.peers.close()
-        log_event(logger, GatewayStopped(cut))
+        log_event(logger, GatewayStopped(cut_connections))
 
     def build_followers(self):
+        """Create the followers of the operators' table and the list of endpoints."""
         tables = (
-            (OPERATORS, self.adapter.operators_table, self.take_operators_rows),
-            (ENDPOINTS, self.adapter.endpoints_table, self.take_endpoint_rows),
+            (OPERATORS, self.adapter.operators_table, self.apply_operators_rows),
+            (ENDPOINTS, self.adapter.endpoints_table, self.apply_endpoint_rows),
         )
-        for name, table, take in tables:
+        for name, table, on_rows in tables:
             follower = TableFollower(
                 name,
                 Replica(table),
@@ -176,88 +184,96 @@
                 self.settings,
                 self.random,
             )
-            follower.take = take
-            follower.store_changed = self.judge_store
+            follower.on_rows = on_rows
+            follower.on_store_state_change = self.update_store_state
             self.followers.append(follower)
-        self.peers.on_beacon = self.peer_heard
+        self.peers.on_beacon = self.on_peer_beacon
 
     async def listen(self):
-        """Open the ports for callers, the balancer and peers."""
+        """Open the ports for callers, the balancer and peers; return two runners."""
         settings = self.settings
         control = web.Application()
         control.router.add_get("/readyz", self.readyz)
         control.router.add_get("/metrics", self.expose_metrics)
         followers.add_routes(control, self.followers)
-        callers = web.ServerRunner(self.callers, shutdown_timeout=0.1)
-        own = web.AppRunner(control, access_log=None, shutdown_timeout=0.1)
+        caller_runner = web.ServerRunner(self.caller_server, shutdown_timeout=0.1)
+        control_runner = web.AppRunner(control, access_log=None, shutdown_timeout=0.1)
         peer_address = f"{settings.host}:{settings.peer_port}"
-        await start(own, settings.ready_address, peer_address)
-        await start(callers, settings.callers_address)
-        return callers, own
+        await start_server(control_runner, settings.ready_address, peer_address)
+        await start_server(caller_runner, settings.callers_address)
+        return caller_runner, control_runner
 
     @property
     def leaving(self):
+        """Return whether the process has been told to stop."""
         return self.stop_plan is not None
 
     @property
     def ready(self):
+        """Return whether requests can be served: configured, listed, not leaving."""
         listed = self.followers and self.followers[1].replica.loaded
         return not self.leaving and self.configuration.table is not None and listed
 
     async def readyz(self, _):
+        """Answer the balancer: 200 if this gateway is ready, else 503."""
         body = {"ready": bool(self.ready), "version": self.configuration.version}
         return web.json_response(body, status=200 if self.ready else 503)
 
     async def expose_metrics(self, _):
+        """Answer with the metrics."""
         text, content_type = self.metrics.catalogue.expose()
         return web.Response(body=text, headers={"Content-Type": content_type})
 
     def configuration_age(self):
-        """Return for how many seconds the configuration has been in force."""
-        read_at = self.configuration.read_at
-        if read_at is None:
+        """Return the seconds since the configuration came in force; -1 for none."""
+        in_force_since = self.configuration.in_force_since
+        if in_force_since is None:
             return -1.0
-        return asyncio.get_running_loop().time() - read_at
+        return asyncio.get_running_loop().time() - in_force_since
 
     def retries_left(self):
-        """Return the repeats left to the service that has the fewest; -1 for none."""
-        now, entries = (
+        """Return the retries left to the service that has the fewest; -1 for none."""
+        now, gateways = (
             asyncio.get_running_loop().time(),
             self.peers.count_sharing_gateways(),
         )
-        left = [budget.left(now, entries) for budget in self.retries.values()]
+        left = [budget.left(now, gateways) for budget in self.retries.values()]
         return min(left, default=-1.0)
 
-    # What the platform and peers tell
+    # Changes from the platform and from peers
 
-    def take_operators_rows(self, rows):
+    def apply_operators_rows(self, rows):
+        """Apply changed rows of the operators' table."""
         for row in rows:
-            self.take_operators_row(row)
-        self.tell_versions()
+            self.apply_operators_row(row)
+        self.announce_versions()
 
-    def take_operators_row(self, row):
+    def apply_operators_row(self, row):
+        """Apply a configuration, or pass on a row that concerns a zone."""
         try:
             if row.value is not None:
-                said = self.adapter.read_operators_row(row)
-                if isinstance(said, RoutingDocument):
+                decoded = self.adapter.read_operators_row(row)
+                if isinstance(decoded, RoutingDocument):
                     now = asyncio.get_running_loop().time()
-                    self.configuration.update_if_newer(RoutingTable(said), now)
+                    self.configuration.update_if_newer(RoutingTable(decoded), now)
                     return
-            self.directory.take_zone(row)
+            self.directory.apply_zone_row(row)
         except RowNotUnderstood as error:
             log_event(
                 logger, OperatorsRowNotUnderstood(row.key, row.version, error.detail)
             )
 
-    def take_endpoint_rows(self, rows):
+    def apply_endpoint_rows(self, rows):
+        """Apply changed rows of the list of endpoints."""
         self.directory.take_endpoint_rows(rows)
-        self.tell_versions()
+        self.announce_versions()
 
-    def tell_versions(self):
-        """Tell peers that a table has changed; at once where they learn it from here.
+    def announce_versions(self):
+        """Send peers the new versions of the tables; at once if the store answers here.
 
-        If those that learn from others also told at once, each change of a row would
-        send a beacon from every gateway to every other.
+        Peers may learn of the change from this gateway then. If gateways that learned
+        it from others sent it at once as well, each changed row would cause a beacon
+        from every gateway to every other.
         """
         if self.store_answers:
             self.peers.broadcast_now()
@@ -266,27 +282,28 @@
 
     @property
     def store_answers(self):
-        """Tell whether the store answers this gateway; False while it rests."""
+        """Return whether the store answers; False while others follow it."""
         return any(each.store_answers for each in self.followers)
 
-    def judge_store(self):
-        """Tell the directory whether the store is away for all gateways heard."""
+    def update_store_state(self):
+        """Note in the directory whether the store answers any gateway that is heard."""
         presences = self.directory.presences
         if self.store_answers or self.peers.store_answers_elsewhere():
             presences.store_returned(asyncio.get_running_loop().time())
         else:
             presences.store_lost()
 
-    def peer_heard(self, peer):
+    def on_peer_beacon(self, peer):
+        """Use what the beacon of a peer says of rate limits, the store and tables."""
         if peer.rate_reports:
             self.directory.merge_rate_reports(peer.host, peer.rate_reports)
         if self.directory.presences.store_unreachable and peer.store_answers:
-            self.judge_store()
+            self.update_store_state()
         for follower in self.followers:
-            follower.peer_heard(peer)
+            follower.on_peer_beacon(peer)
 
     def build_beacon(self):
-        """Return a beacon of what this process knows and has at the endpoints."""
+        """Return a beacon with this gateway's loads, rate limits and table versions."""
         now = asyncio.get_running_loop().time()
         operators, endpoints = (each.replica.version for each in self.followers)
         return Beacon(
@@ -299,23 +316,23 @@
         )
 
     def reload(self):
-        """Take the seeds of the settings as they are now.
+        """Apply the seeds of the present settings; other settings need a restart.
 
-        Without a handler the signal would end the process. Addresses and bounds hold
-        for the life of the process.
+        Without this handler the signal would end the process.
         """
-        settings = self.reread()
+        settings = self.read_settings()
         if settings is not None:
             log_event(logger, SettingsReloaded(settings.seeds))
             self.settings.seeds = settings.seeds
             self.add_seeds()
 
     def add_seeds(self):
+        """Add the seeds' addresses to the peers."""
         for host in self.settings.seed_hosts:
             self.peers.add_host(host)
 
-    async def announce(self):
-        """Write this gateway's address where others find it, and learn theirs."""
+    async def register_address(self):
+        """Write this gateway's address to the store and read those of the others."""
         self.add_seeds()
         table, settings = self.adapter.gateways_table, self.settings
         while True:
@@ -326,28 +343,31 @@
                 return
             except StoreUnavailable as error:
                 log_event(logger, AddressNotWritten(error.detail))
-                await asyncio.sleep(ANNOUNCE_RETRY_SECONDS)
+                await asyncio.sleep(REGISTER_RETRY_SECONDS)
 
     async def measure_loop_delay(self):
+        """Measure the delay of the event loop for ever."""
         await measure_loop_delay(self.metrics.loop_delay)
 
-    # The end
+    # Stopping
 
     async def drain(self):
-        """Turn readiness down and let running requests end."""
+        """Report not ready and wait for running requests to end."""
         loop = asyncio.get_running_loop()
         plan = self.stop_plan = StopPlan(loop.time(), self.settings.stop_seconds)
         self.peers.broadcast_now()
-        self.callers.start_draining(plan.latest)
-        log_event(logger, GatewayDraining(self.running, len(self.callers.connections)))
-        await serving.wait_until_drained(plan, self.callers, lambda: self.running)
+        self.caller_server.start_draining(plan.latest)
+        log_event(
+            logger, GatewayDraining(self.running, len(self.caller_server.connections))
+        )
+        await serving.wait_until_drained(plan, self.caller_server, lambda: self.running)
         seconds = round(loop.time() - plan.began, 3)
-        open_connections = len(self.callers.connections)
+        open_connections = len(self.caller_server.connections)
         log_event(logger, GatewayDrained(self.running, open_connections, seconds))
 
 
-async def start(runner, *addresses):
-    """Set a server up and listen on addresses."""
+async def start_server(runner, *addresses):
+    """Set up a server and listen on addresses."""
     await runner.setup()
     for address in addresses:
         host, _, port = address.rpartition(":")
@@ -355,11 +375,11 @@
         await site.start()
 
 
-async def keep_running(work):
-    """Run a lasting task again when it ends on an error that nobody foresaw.
+async def rerun_on_error(work):
+    """Run a background task and restart it when it raises an unexpected exception.
 
-    The process would go on without it on yesterday's configuration, and look healthy;
-    ending the process instead would cut its callers off for the same error again.
+    Without the restart the process would look healthy and keep an old configuration;
+    ending the process instead would cut off its callers, and the error would recur.
     """
     while True:
         try:
@@ -367,4 +387,4 @@
             return
         except Exception as error:
             log_event(logger, TaskFailed(), error=error)
-            await asyncio.sleep(FAILED_TASK_SECONDS)
+            await asyncio.sleep(TASK_RESTART_SECONDS)
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/metrics.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/metrics.py
@@ -1,4 +1,4 @@
-"""Declare the gateway's metrics and count what its requests come to."""
+"""Declare the gateway's metrics and count the outcomes of its requests."""
 
 from fescuedrum.metrics import LOOP_DELAY_BUCKETS, SERVICE, Label, MetricCatalogue
 
@@ -10,9 +10,10 @@
 
 
 class GatewayMetrics:
-    """Own the gateway's metrics; each method counts one kind of event."""
+    """Hold the gateway's metrics and count the events behind them."""
 
     __slots__ = (
+        "attempts",
         "catalogue",
         "first_event",
         "loop_delay",
@@ -20,14 +21,13 @@
         "refusals",
         "requests",
         "seconds",
-        "sendings",
     )
 
     def __init__(self):
         catalogue = self.catalogue = MetricCatalogue()
         self.requests = catalogue.counter(
             "fescuedrum_gateway_requests_total",
-            "Requests that came to an end.",
+            "Requests that ended.",
             SERVICE,
             RESULT,
         )
@@ -41,17 +41,19 @@
             "Time from a request's head to the first event of its stream.",
             SERVICE,
         )
-        self.sendings = catalogue.counter(
+        self.attempts = catalogue.counter(
             "fescuedrum_gateway_sendings_total",
-            "Sendings to endpoints; more than requests by repeats.",
+            "Attempts to send a request to an endpoint, retries included.",
             SENDING,
         )
         self.refusals = catalogue.counter(
-            "fescuedrum_gateway_refusals_total", "Refusals of the gateway's own.", CODE
+            "fescuedrum_gateway_refusals_total",
+            "Requests refused by the gateway itself.",
+            CODE,
         )
         self.loop_delay = catalogue.histogram(
             "fescuedrum_gateway_loop_delay_seconds",
-            "How late the event loop runs a timer.",
+            "Delay with which the event loop runs a timer.",
             buckets=LOOP_DELAY_BUCKETS,
         )
         self.map_changes = catalogue.counter(
@@ -61,12 +63,12 @@
         )
 
     def watch(self, gateway):
-        """Declare the gauges that are read from the gateway's parts."""
+        """Declare the gauges that are read from a Gateway."""
         readings = (
-            ("running_requests", "Requests that run now.", lambda: gateway.running),
+            ("running_requests", "Requests running now.", lambda: gateway.running),
             (
                 "configuration_version",
-                "Version of the configuration that is in force here; -1 for none.",
+                "Version of the configuration in force; -1 for none.",
                 lambda: gateway.configuration.version,
             ),
             (
@@ -86,7 +88,7 @@
             ),
             (
                 "retries_left",
-                "Repeats that the service with the fewest left may send; -1 for none.",
+                "Retries left to the service that has the fewest; -1 for none.",
                 lambda: gateway.retries_left(),
             ),
             (
@@ -96,17 +98,18 @@
             ),
             (
                 "limited_endpoints",
-                "Endpoints that name the requests a second that they take.",
+                "Endpoints that limit the requests a second that they accept.",
                 lambda: len(gateway.directory.rate_limits.limited()),
             ),
             (
                 "gateways_sharing",
-                "Gateways that share the common bounds, this one included.",
+                "Gateways that share bounds and budgets, this one included.",
                 lambda: gateway.peers.count_sharing_gateways(),
             ),
             (
                 "store_answers",
-                "1 while the platform's store answers this gateway; 0 while it rests.",
+                "1 while the platform's store answers this gateway; 0 also while it "
+                "leaves the store to others.",
                 lambda: gateway.store_answers,
             ),
             ("leaving", "1 while the process stops.", lambda: gateway.leaving),
@@ -115,12 +118,15 @@
             self.catalogue.callback_gauge(f"fescuedrum_gateway_{name}", text, read)
 
     def ended(self, service, result, seconds):
+        """Count a request that ended; service is empty if it is not known."""
         self.requests.labels(service or NO_SERVICE, result).inc()
         if service:
             self.seconds.labels(service).observe(seconds)
 
     def refused(self, code):
+        """Count a request that the gateway refused."""
         self.refusals.labels(code).inc()
 
     def sent(self, result):
-        self.sendings.labels(result).inc()
+        """Count an attempt to send a request to an endpoint."""
+        self.attempts.labels(result).inc()
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/peers.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/peers.py
@@ -1,4 +1,4 @@
-"""Tell other gateways what is at the endpoints, and learn from them."""
+"""Exchange beacons with other gateways: loads, rate limits and table versions."""
 
 import asyncio
 import collections
@@ -28,34 +28,34 @@
 
 logger = logging.getLogger(__name__)
 
-# The two tables that gateways copy, by the names that they use among themselves.
+# Names of the two tables that gateways copy, as used between gateways.
 OPERATORS = "operators"
 ENDPOINTS = "endpoints"
-# Longest time between beacons in a mesh; what they tell is also sent when it changes.
+# Time between beacons in a small mesh; a change is also sent in between.
 BEACON_SECONDS = 0.4
-# Changes within this time go out together: a request is chosen for some five times a
-# second at a gateway, and a choice elsewhere that is later than this has seen it.
-CHANGE_SECONDS = 0.01
-# A gateway is silent when this many beacons did not come.
-MISSED_BEACONS = 2.5
-# Loads of a gateway that was silent for so long no longer hold.
+# Changes within this time are sent in one beacon. A gateway chooses an endpoint some
+# five times a second, so few choices elsewhere are made before a change has arrived.
+CHANGE_BATCH_SECONDS = 0.01
+# Number of beacon intervals without a beacon after which a gateway counts as silent.
+MISSED_BEACONS_ALLOWED = 2.5
+# Loads reported by a gateway are ignored after it has been silent for this time.
 LOAD_EXPIRY_SECONDS = 1.5
-# A gateway silent for so long no longer leads: two beacons did not come.
-LEAD_SECONDS = 1.0
-# A gateway silent for so long is asked less often, and no longer shares the budgets.
+# A gateway is no leader after this time of silence, in which two beacons are missed.
+LEADER_EXPIRY_SECONDS = 1.0
+# A gateway no longer counts as sharing bounds and budgets after this time of silence.
 PEER_EXPIRY_SECONDS = 60.0
-# How often hosts that never answered are asked.
+# Time between two beacons to a silent gateway, which ask it to answer.
 PROBE_SECONDS = 2.0
-# A datagram with so many addresses still fits one packet.
+# A datagram with this many addresses still fits into one packet.
 MAXIMUM_KNOWN_HOSTS = 40
 
 
 @dataclass(slots=True)
 class PeerGateway:
-    """Hold what another gateway told last; times are loop time in seconds."""
+    """Hold the state of another gateway from its last beacon, in loop time."""
 
     host: str
-    # Its availability zone; empty until it is heard.
+    # Its availability zone; empty before its first beacon.
     zone: str = ""
     # When its address was learned.
     known_at: float = float("-inf")
@@ -68,28 +68,28 @@
     link_megabits: float = 0.0
     versions: dict[str, int] = field(default_factory=dict)
     loads: dict[str, Load] = field(default_factory=dict)
-    # What endpoints told it of their rates, by name of endpoint.
+    # Rate limits that endpoints named to it, with the names of the endpoints.
     rate_reports: list[tuple[str, RateReport]] = field(default_factory=list)
 
 
 class Peers(asyncio.DatagramProtocol):
-    """Own the socket for datagrams and what other gateways said."""
+    """Own the datagram socket and the state of other gateways by their address."""
 
     __slots__ = (
         "build_beacon",
-        "due_zones",
+        "change_limiter",
+        "change_timer",
+        "changed_zones",
         "hosts",
-        "in_zone",
         "incarnation",
         "is_one_mesh",
         "loop",
+        "mesh_sent_at",
         "on_beacon",
-        "pace",
-        "pending",
+        "others_sent_at",
+        "own_zone_count",
         "sequence",
         "settings",
-        "told_mesh_at",
-        "told_others_at",
         "transport",
     )
 
@@ -98,24 +98,25 @@
         self.incarnation = incarnation
         self.loop = asyncio.get_running_loop()
         self.hosts = {}
-        # How many of them are known to be in the own availability zone.
-        self.in_zone = 0
-        # Whether all gateways tell each other of changes.
+        # How many of them are known to be in this gateway's availability zone.
+        self.own_zone_count = 0
+        # Whether all gateways form one mesh and send each other changes promptly.
         self.is_one_mesh = True
         self.sequence = 0
-        self.told_mesh_at = float("-inf")
-        self.told_others_at = float("-inf")
+        self.mesh_sent_at = float("-inf")
+        self.others_sent_at = float("-inf")
         self.transport = None
-        self.pace = meshes.build_change_limiter()
-        # Zones whose gateways are still to be told of a change, and the timer for it.
-        self.due_zones = set()
-        self.pending = None
-        # build_beacon() fills a beacon; on_beacon(peer) is told of each one that came.
+        self.change_limiter = meshes.build_change_limiter()
+        # Zones whose gateways don't know of a change yet, and the timer to tell them.
+        self.changed_zones = set()
+        self.change_timer = None
+        # build_beacon() returns the beacon to send; on_beacon(peer) is called for each
+        # one received.
         self.build_beacon = lambda: Beacon()
         self.on_beacon = lambda peer: None
 
     async def open(self):
-        """Bind the socket for datagrams."""
+        """Open the datagram socket."""
         address = (self.settings.host, self.settings.peer_port)
         await self.loop.create_datagram_endpoint(lambda: self, local_addr=address)
 
@@ -123,13 +124,13 @@
         self.transport = transport
 
     def error_received(self, exc):
-        # A host without a listener says so; it is asked again later.
+        # A host without a listener refuses datagrams. It gets further beacons later.
         log_event(logger, DatagramRefused(repr(exc)))
 
     def close(self):
-        """Send nothing from now on; a beacon that is due would find no socket."""
-        if self.pending is not None:
-            self.pending.cancel()
+        """Cancel the beacon that is due and close the socket."""
+        if self.change_timer is not None:
+            self.change_timer.cancel()
         if self.transport is not None:
             self.transport.close()
             self.transport = None
@@ -138,10 +139,11 @@
 
     @property
     def mesh_size(self) -> int:
-        """Return how many others are told of changes promptly."""
-        return len(self.hosts) if self.is_one_mesh else self.in_zone
+        """Return how many other gateways are in the mesh of this one."""
+        return len(self.hosts) if self.is_one_mesh else self.own_zone_count
 
     def is_in_mesh(self, peer: PeerGateway) -> bool:
+        """Return whether a gateway is in the mesh of this one."""
         return self.is_one_mesh or peer.zone == self.settings.zone
 
     @property
@@ -150,28 +152,28 @@
 
     @property
     def others_interval(self) -> float:
-        """Return the time between beacons to gateways outside the mesh."""
+        """Return the seconds between beacons to gateways outside the mesh."""
         others = len(self.hosts) - self.mesh_size
         return meshes.heartbeat_interval(BEACON_SECONDS, others, in_mesh=False)
 
-    # What is known
+    # State of other gateways
 
     def add_host(self, host):
-        """Take note of an address at which a gateway may be."""
+        """Add an address where a gateway may be, and send it a first beacon."""
         if host != self.settings.host and host not in self.hosts:
             self.hosts[host] = PeerGateway(host, known_at=self.loop.time())
             self.is_one_mesh = meshes.is_fresh(len(self.hosts))
-            self.send_to(self.hosts[host], wants_answer=True)
+            self.send_beacon(self.hosts[host], wants_answer=True)
 
     def is_heard(self, peer: PeerGateway, seconds: float) -> bool:
-        """Tell whether a gateway was heard so lately; longer if beacons are paced."""
-        return self.hearing(seconds)(peer)
+        """Return whether a gateway was heard in so many seconds, or a few beacons."""
+        return self.build_heard_check(seconds)(peer)
 
-    def hearing(self, seconds: float) -> Callable[[PeerGateway], bool]:
-        """Return what tells for each of many gateways whether it is heard."""
+    def build_heard_check(self, seconds: float) -> Callable[[PeerGateway], bool]:
+        """Return the function is_heard(peer) for a time, as of now."""
         now = self.loop.time()
-        mesh_since = now - max(seconds, MISSED_BEACONS * self.mesh_interval)
-        others_since = now - max(seconds, MISSED_BEACONS * self.others_interval)
+        mesh_since = now - max(seconds, MISSED_BEACONS_ALLOWED * self.mesh_interval)
+        others_since = now - max(seconds, MISSED_BEACONS_ALLOWED * self.others_interval)
 
         def is_heard(peer: PeerGateway) -> bool:
             since = mesh_since if self.is_in_mesh(peer) else others_since
@@ -180,21 +182,21 @@
         return is_heard
 
     def heard_within(self, seconds: float) -> list[PeerGateway]:
-        return list(filter(self.hearing(seconds), self.hosts.values()))
+        return list(filter(self.build_heard_check(seconds), self.hosts.values()))
 
     def count_sharing_gateways(self) -> int:
         """Return how many gateways may share a bound, this one included."""
         return 1 + len(self.sharing_zones())
 
     def sharing_zones(self) -> dict[str, str]:
-        """Return the zones of the others that may share a bound, by their address.
+        """Return the zones of the other gateways that may share a bound, by address.
 
-        Gateways that were cut off still send: they count until they are forgotten. So
-        do those of which this one has only been told, as it has just started, and those
-        that leave, as long as they run.
+        A gateway that was cut off still sends requests, so it counts until it expires.
+        So does one whose address was learned and that has not been heard yet, as this
+        gateway may just have started. A leaving one counts as long as it is heard.
         """
         since = self.loop.time() - PEER_EXPIRY_SECONDS
-        is_heard = self.hearing(LOAD_EXPIRY_SECONDS)
+        is_heard = self.build_heard_check(LOAD_EXPIRY_SECONDS)
         return {
             each.host: each.zone
             for each in self.hosts.values()
@@ -203,17 +205,17 @@
         }
 
     def is_leader(self):
-        """Tell whether this gateway is the first of those that are heard and stay."""
+        """Return whether this gateway leads among those that are heard and stay."""
         own = leading.Candidate(self.settings.host, self.settings.link_megabits)
         others = (
             leading.Candidate(each.host, each.link_megabits)
-            for each in self.heard_within(LEAD_SECONDS)
+            for each in self.heard_within(LEADER_EXPIRY_SECONDS)
             if not each.leaving
         )
         return leading.is_leader(own, others)
 
     def loads(self):
-        """Sum up what the other gateways have at each endpoint, by its name."""
+        """Return the total Load of the other gateways at each endpoint, by its name."""
         totals = collections.defaultdict(Load)
         for peer in self.heard_within(LOAD_EXPIRY_SECONDS):
             for endpoint, load in peer.loads.items():
@@ -227,7 +229,7 @@
         )
 
     def must_follow_store(self):
-        """Tell whether too few others follow the store for this gateway to rest."""
+        """Return whether too few other gateways follow the store without this one."""
         heard = self.heard_within(LOAD_EXPIRY_SECONDS)
         answered = (
             each.host for each in heard if each.store_answers and not each.leaving
@@ -235,7 +237,7 @@
         return must_read_store(self.settings.host, answered)
 
     def peers_ahead_of(self, table, version):
-        """Return the gateways whose copy of a table is newer than version."""
+        """Return the gateways whose copy of a table is newer than a version."""
         return [
             each
             for each in self.heard_within(LOAD_EXPIRY_SECONDS)
@@ -245,93 +247,96 @@
     # Sending
 
     async def run(self):
-        """Send beacons to all gateways, to those of the mesh more often."""
+        """Send beacons to all gateways for ever, more often within the mesh."""
         while True:
             now = self.loop.time()
-            if now >= self.told_others_at + self.others_interval:
-                self.tell_others()
-            if now >= self.told_mesh_at + self.mesh_interval:
-                self.tell_mesh()
+            if now >= self.others_sent_at + self.others_interval:
+                self.send_to_others()
+            if now >= self.mesh_sent_at + self.mesh_interval:
+                self.send_to_mesh()
             due = min(
-                self.told_others_at + self.others_interval,
-                self.told_mesh_at + self.mesh_interval,
+                self.others_sent_at + self.others_interval,
+                self.mesh_sent_at + self.mesh_interval,
             )
-            await asyncio.sleep(max(due - self.loop.time(), CHANGE_SECONDS))
+            await asyncio.sleep(max(due - self.loop.time(), CHANGE_BATCH_SECONDS))
 
     def announce_change(self, zone: str = "") -> None:
-        """Tell the gateways of a zone soon of a change at its endpoints.
+        """Schedule a beacon to a zone's gateways after a change at its endpoints.
 
-        It goes out together with what else changes till then. Where there is only one
-        mesh, all are told; without a zone, the own one.
+        Changes until the beacon is sent go out with it. Without a zone it is sent to
+        this gateway's zone; if all gateways form one mesh, it is sent to all of them.
         """
-        self.due_zones.add(zone or self.settings.zone)
-        if self.pending is not None or self.transport is None:
+        self.changed_zones.add(zone or self.settings.zone)
+        if self.change_timer is not None or self.transport is None:
             return
         now = self.loop.time()
-        due = max(self.pace.due(now), now + CHANGE_SECONDS)
-        self.pending = self.loop.call_at(due, self.tell_due)
+        due = max(self.change_limiter.due(now), now + CHANGE_BATCH_SECONDS)
+        self.change_timer = self.loop.call_at(due, self.send_due_changes)
 
     def broadcast_now(self):
-        """Send at once what has changed, whatever the pace.
+        """Send a beacon to all gateways at once, without regard to the pace.
 
-        For what is seldom and can't wait: a table that most others learn from here, as
-        a configuration has to be in force in seconds; and a leave, as groups are kept
-        by nobody until the next gateway hears of it.
+        This is for rare and urgent changes: a table that most others learn from this
+        gateway, as a configuration has to be in force in seconds; and its own leave, as
+        nobody manages the groups of ranks until the next gateway hears of it.
         """
         if self.transport is not None:
-            self.tell_others()
-            self.tell_mesh()
+            self.send_to_others()
+            self.send_to_mesh()
 
-    def tell_due(self) -> None:
-        """Tell the gateways of a due change, if no heartbeat has told them."""
-        self.pending = None
-        zones, self.due_zones = self.due_zones, set()
+    def send_due_changes(self) -> None:
+        """Send the changes that are due, unless a regular beacon has sent them."""
+        self.change_timer = None
+        zones, self.changed_zones = self.changed_zones, set()
         if zones and (self.is_one_mesh or self.settings.zone in zones):
-            self.tell_mesh()
+            self.send_to_mesh()
         others = [
             each
             for each in self.hosts.values()
             if each.zone in zones and not self.is_in_mesh(each)
         ]
         if others:
-            self.pace.spend(self.send_beacons(others), self.loop.time())
+            self.change_limiter.spend(self.send_beacons(others), self.loop.time())
 
-    def tell_mesh(self) -> None:
-        self.told_mesh_at = self.loop.time()
-        self.due_zones.discard(self.settings.zone)
+    def send_to_mesh(self) -> None:
+        self.mesh_sent_at = self.loop.time()
+        self.changed_zones.discard(self.settings.zone)
         mesh = [each for each in self.hosts.values() if self.is_in_mesh(each)]
-        self.pace.spend(self.send_beacons(mesh), self.told_mesh_at)
+        self.change_limiter.spend(self.send_beacons(mesh), self.mesh_sent_at)
 
-    def tell_others(self) -> None:
-        self.told_others_at = self.loop.time()
+    def send_to_others(self) -> None:
+        """Send a beacon to the gateways outside the mesh."""
+        self.others_sent_at = self.loop.time()
         self.send_beacons(
             [each for each in self.hosts.values() if not self.is_in_mesh(each)]
         )
 
     def send_beacons(self, peers: list[PeerGateway]) -> int:
-        """Send a beacon to those that are heard; return to how many.
+        """Send a beacon to those of the gateways that are heard; return their number.
 
-        The others are asked now and then, as they may be back.
+        Silent ones are asked now and then for an answer, as they may be back.
         """
-        payload = self.build(wants_answer=False, tells_hosts=False)
-        is_heard = self.hearing(LOAD_EXPIRY_SECONDS)
-        now, told = self.loop.time(), 0
+        payload = self.encode_beacon(wants_answer=False, include_hosts=False)
+        is_heard = self.build_heard_check(LOAD_EXPIRY_SECONDS)
+        now, sent = self.loop.time(), 0
         for peer in peers:
             if is_heard(peer):
                 self.transport.sendto(payload, (peer.host, self.settings.peer_port))
-                told += 1
+                sent += 1
             elif now - peer.probed_at >= PROBE_SECONDS:
-                self.send_to(peer, wants_answer=True)
-        return told
+                self.send_beacon(peer, wants_answer=True)
+        return sent
 
-    def send_to(self, peer, *, wants_answer):
+    def send_beacon(self, peer, *, wants_answer):
+        """Send a gateway a beacon with the addresses of the gateways heard."""
         if self.transport is None:
             return
         peer.probed_at = self.loop.time()
-        payload = self.build(wants_answer=wants_answer, tells_hosts=True)
+        payload = self.encode_beacon(wants_answer=wants_answer, include_hosts=True)
         self.transport.sendto(payload, (peer.host, self.settings.peer_port))
 
-    def build(self, *, wants_answer: bool, tells_hosts: bool) -> bytes:
+    def encode_beacon(self, *, wants_answer: bool, include_hosts: bool) -> bytes:
+        """Return the bytes of a beacon with the next sequence number."""
         beacon = self.build_beacon()
         self.sequence += 1
         beacon.instance = self.settings.name
@@ -340,14 +345,15 @@
         beacon.sequence = self.sequence
         beacon.link_megabits = self.settings.link_megabits
         beacon.wants_answer = wants_answer or None
-        if tells_hosts:
+        if include_hosts:
             known = self.heard_within(PEER_EXPIRY_SECONDS)
             beacon.known_hosts = [each.host for each in known][:MAXIMUM_KNOWN_HOSTS]
         return encode(beacon)
 
-    # Hearing
+    # Receiving
 
     def datagram_received(self, data, addr):
+        """Apply a beacon, note the addresses in it, and answer if it asks for that."""
         try:
             beacon = decode(Beacon, data)
         except ProtocolError as error:
@@ -359,18 +365,19 @@
         for other in beacon.known_hosts or ():
             self.add_host(other)
         self.add_host(host)
-        self.take(self.hosts[host], beacon)
+        self.apply_beacon(self.hosts[host], beacon)
         if beacon.wants_answer:
-            self.send_to(self.hosts[host], wants_answer=False)
+            self.send_beacon(self.hosts[host], wants_answer=False)
 
-    def take(self, peer, beacon):
-        same_life = beacon.incarnation == peer.incarnation
-        if same_life and (beacon.sequence or 0) <= peer.sequence:
-            # Datagrams overtake each other; an older one would bring old loads back.
+    def apply_beacon(self, peer, beacon):
+        """Update a gateway's state from its beacon, unless a newer one was applied."""
+        same_incarnation = beacon.incarnation == peer.incarnation
+        if same_incarnation and (beacon.sequence or 0) <= peer.sequence:
+            # Datagrams can arrive out of order; an older one would restore old loads.
             return
         if not self.is_heard(peer, LOAD_EXPIRY_SECONDS):
             log_event(logger, GatewayHeard(beacon.instance, peer.host))
-        self.note_zone(peer, beacon.zone or "")
+        self.update_zone(peer, beacon.zone or "")
         peer.last_heard_at = self.loop.time()
         peer.incarnation = beacon.incarnation
         peer.sequence = beacon.sequence or 0
@@ -382,27 +389,28 @@
             for each in beacon.loads or ()
         }
         peer.rate_reports = decode_limits(beacon.limits or (), self.loop.time())
-        self.take_versions(peer, beacon)
+        self.update_versions(peer, beacon)
         self.on_beacon(peer)
 
-    def note_zone(self, peer: PeerGateway, zone: str) -> None:
-        """Take note of a gateway's zone; an address may come back in another."""
+    def update_zone(self, peer: PeerGateway, zone: str) -> None:
+        """Update a gateway's zone, which may change when an address is used again."""
         own = self.settings.zone
-        self.in_zone += (zone == own) - (peer.zone == own)
+        self.own_zone_count += (zone == own) - (peer.zone == own)
         peer.zone = zone
 
-    def take_versions(self, peer, beacon):
-        told = {
+    def update_versions(self, peer, beacon):
+        """Update the versions of a gateway's tables; leave out what it has not read."""
+        versions = {
             OPERATORS: beacon.operators_version,
             ENDPOINTS: beacon.endpoints_version,
         }
         peer.versions = {
-            table: version for table, version in told.items() if version is not None
+            table: version for table, version in versions.items() if version is not None
         }
 
 
 def encode_loads(pairs):
-    """Return own loads as they go into a beacon."""
+    """Return pairs of an endpoint's name and a Load in the form of a beacon."""
     return [
         EndpointLoad(
             endpoint=name,
@@ -414,7 +422,7 @@
 
 
 def encode_limits(rate_limits: RateLimits, now: float) -> list[EndpointLimit]:
-    """Return what endpoints told of their rates as it goes into a beacon."""
+    """Return the rate limits that endpoints have named in the form of a beacon."""
     limits = []
     for endpoint, report in rate_limits.reports(now):
         limit = EndpointLimit(endpoint=endpoint, age=now - report.stated_at)
@@ -427,11 +435,11 @@
 def decode_limits(
     limits: Iterable[EndpointLimit], now: float
 ) -> list[tuple[str, RateReport]]:
-    """Return what a beacon tells of endpoints' rates, without what can't be true."""
+    """Return the endpoints' rate limits in a beacon, without impossible ones."""
     reports = []
     for limit in limits:
         age, per_second = limit.age or 0.0, limit.per_second
-        # A report from the future would outlive all that the endpoint says itself.
+        # With a negative age it would override what the endpoint itself says later.
         if not (is_rate(age) and (per_second is None or is_rate(per_second))):
             continue
         rate = Unlimited() if per_second is None else Limited(per_second)
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/program.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/program.py
@@ -23,7 +23,7 @@
 
 
 def run_gateway(path, adapter, *, only_check=False):
-    """Run a gateway that speaks through an adapter; return its exit code."""
+    """Run a gateway with an adapter for its platform; return the exit code."""
     loaded = load_settings(GatewaySettings, path)
     if loaded.is_err():
         for finding in loaded.err_value:
@@ -43,15 +43,17 @@
 
 
 async def serve(settings, adapter, path):
-    def reread():
+    """Run a gateway until the process is told to stop."""
+
+    def read_settings():
         return reload_settings(path)
 
     incarnation = secrets.randbits(INCARNATION_BITS)
-    await Gateway(settings, adapter, incarnation, reread).run(stop_event())
+    await Gateway(settings, adapter, incarnation, read_settings).run(stop_event())
 
 
 def reload_settings(path):
-    """Return the settings as they are now; None if they have faults."""
+    """Return the settings as they are now; None if they are invalid."""
     loaded = load_settings(GatewaySettings, path)
     if loaded.is_ok():
         return loaded.ok_value
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/__init__.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/__init__.py
@@ -1,1 +1,1 @@
-"""Hold what lives as long as one request."""
+"""Contain the code whose state lasts as long as one request."""
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/admission.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/admission.py
@@ -1,4 +1,4 @@
-"""Turn an HTTP request into a call, or refuse it."""
+"""Turn an HTTP request into a Call, or refuse it."""
 
 import asyncio
 
@@ -16,9 +16,9 @@
 from fescuedrum.serving import StopDeadlinePassed
 from fescuedrum_gateway.request.call import Call
 
-# A process that starts gets its first configuration within about this time.
+# A starting process receives its first configuration within about this time.
 UNCONFIGURED_RETRY_SECONDS = 0.5
-# Another gateway takes the request at once.
+# Another gateway accepts the request at once.
 STOP_RETRY_SECONDS = 0.05
 
 
@@ -33,7 +33,10 @@
 
 
 def authenticate(head, route, table):
-    """Return the organisation of a request's key, or None; raise UnknownKey."""
+    """Return the organisation of a request's key or None; raise UnknownKey.
+
+    UnknownKey is raised only where keys are needed and the route is not public.
+    """
     organisation = table.organisations_by_key.get(head.key) if head.key else None
     if organisation is None and table.needs_keys and not route.public:
         raise UnknownKey("The request's key belongs to no organisation.")
@@ -43,16 +46,17 @@
 async def read_body_within(gateway, seconds, http_request, limit):
     """Return the whole body; raise BodyTooLarge, BodyTooSlow or ProcessStopping.
 
-    A caller's link may break in the middle of a body. Nothing shows it, and the request
-    would hang, and hold up the stop of its process, long after the caller gave it up.
+    A caller's link may break in the middle of a body without any sign of it. Without a
+    time limit the request would hang, and delay the stop of the process, long after the
+    caller has given up.
     """
     try:
-        async with gateway.callers.body_timeout(seconds):
+        async with gateway.caller_server.body_timeout(seconds):
             return await read_body(http_request, limit)
     except StopDeadlinePassed:
-        raise refuse_at_stop() from None
+        raise build_stopping_error() from None
     except TimeoutError:
-        raise BodyTooSlow("Not all of it came in the caller's time.") from None
+        raise BodyTooSlow("It did not arrive before the caller's deadline.") from None
 
 
 async def read_body(http_request, limit):
@@ -69,27 +73,30 @@
     return bytes(body)
 
 
-def ends_at(arrived, head, route):
-    """Return when a caller, or the operators' timeout, gives the request up."""
-    patience = route.timeout if head.patience is None else head.patience
-    return arrived + min(patience, route.timeout)
+def compute_deadline(arrived, head, route):
+    """Return the caller's deadline, or that of the route's timeout if it is earlier."""
+    seconds_left = route.timeout if head.seconds_left is None else head.seconds_left
+    return arrived + min(seconds_left, route.timeout)
+
 
+def call_priority(route, organisation, *, is_caller_retry):
+    """Return the priority of a call, 0 being the most urgent.
 
-def rank_call(route, organisation, *, is_caller_retry):
-    """Return how urgent a call is, 0 being first; callers who come back go behind."""
+    Calls of callers who retry are less urgent, as they are late in any case.
+    """
     priority = route.priority
     if organisation is not None and organisation.priority is not None:
         priority = organisation.priority
     return priority + RETRY_RANK_PENALTY if is_caller_retry else priority
 
 
-def refuse_at_stop():
-    """Return the error for work that the end of this process might cut."""
+def build_stopping_error():
+    """Return the error for work that the end of this process might cut off."""
     return ProcessStopping("This process stops.", retry_after=STOP_RETRY_SECONDS)
 
 
 async def admit(http_request, head, gateway, arrived):
-    """Return the call of a request; raise a FescuedrumError that refuses it."""
+    """Return the Call of a request; raise a FescuedrumError to refuse it."""
     table = gateway.configuration.table
     if table is None:
         raise Unavailable(
@@ -97,26 +104,28 @@
         )
     route = find_route(http_request, table)
     organisation = authenticate(head, route, table)
-    end = ends_at(arrived, head, route)
+    deadline = compute_deadline(arrived, head, route)
     plan = gateway.stop_plan
-    if plan is not None and not plan.accepts(arrived, end):
-        raise refuse_at_stop()
+    if plan is not None and not plan.accepts(arrived, deadline):
+        raise build_stopping_error()
     limit = table.document.limits.maximum_body_bytes
-    left = end - asyncio.get_running_loop().time()
-    body = await read_body_within(gateway, left, http_request, limit)
-    if asyncio.get_running_loop().time() >= end:
-        raise DeadlinePassed("The caller's time was over before it was read.")
-    is_caller_retry = not gateway.patience[route.name].is_fresh(head.patience)
+    seconds_left = deadline - asyncio.get_running_loop().time()
+    body = await read_body_within(gateway, seconds_left, http_request, limit)
+    if asyncio.get_running_loop().time() >= deadline:
+        raise DeadlinePassed("The caller's deadline passed before it was read.")
+    is_caller_retry = not gateway.patience_trackers[route.name].is_fresh(
+        head.seconds_left
+    )
     return Call(
         head=head,
         route=route,
         service=choose_service(route, gateway.random),
         organisation=organisation.name if organisation else "",
-        priority=rank_call(route, organisation, is_caller_retry=is_caller_retry),
+        priority=call_priority(route, organisation, is_caller_retry=is_caller_retry),
         is_caller_retry=is_caller_retry,
         method=http_request.method,
         target=http_request.raw_path,
         body=body,
         arrived=arrived,
-        ends_at=end,
+        deadline=deadline,
     )
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/attempts.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/attempts.py
@@ -1,4 +1,4 @@
-"""Choose endpoints for a call and send it, as often as the call allows."""
+"""Send a call to endpoints, with retries within the limits of its route."""
 
 import asyncio
 import logging
@@ -14,30 +14,30 @@
     ProcessStopping,
     Unavailable,
 )
-from fescuedrum_gateway.adapter import SendHead
-from fescuedrum_gateway.connection.endpoints import Opened, open_answer
-from fescuedrum_gateway.request.admission import refuse_at_stop
+from fescuedrum_gateway.adapter import ForwardHead
+from fescuedrum_gateway.connection.endpoints import OpenedAnswer, send_call
+from fescuedrum_gateway.request.admission import build_stopping_error
 from fescuedrum_gateway.request.call import Answered, Lost, NotRun
 
 logger = logging.getLogger(__name__)
 
-# The answer needs the way back; what the endpoint does after it is wasted.
-WAY_SECONDS = 0.01
-# Work with less than this left would end late; a plain request takes some 20 ms.
-LEAST_SECONDS = 0.02
-# The endpoint at the address is another than the one that was meant.
+# Time for the answer's way back. Work that an endpoint does in this time is wasted.
+ANSWER_TRANSIT_SECONDS = 0.01
+# With less time left the answer would be late: a plain request takes some 20 ms.
+MINIMUM_SECONDS_LEFT = 0.02
+# Status of an endpoint that is another one than the request was meant for.
 MISDIRECTED_STATUS = 421
 
 
 class Attempts:
-    """Send one call to one endpoint after the other."""
+    """Send one call to one endpoint after another."""
 
     __slots__ = (
-        "arrived",
         "call",
         "gateway",
         "loop",
-        "ran",
+        "may_have_arrived",
+        "possible_run",
         "reservation",
         "sent",
         "tried",
@@ -47,56 +47,58 @@
         self.call = call
         self.gateway = gateway
         self.loop = asyncio.get_running_loop()
-        # Sendings that an endpoint may have run, or has refused to run.
+        # Attempts that reached the endpoint that was meant, or may have.
         self.sent = 0
-        # Whether any endpoint may have seen the request, be it another than was meant.
-        self.arrived = False
-        # The newest result of a sending that may have run.
-        self.ran = None
+        # Whether any endpoint may have received the request, also a wrong one.
+        self.may_have_arrived = False
+        # Result of the last attempt that may have run.
+        self.possible_run = None
         self.tried = set()
-        # What the endpoint of the newest sending is charged with.
+        # Reservation at the endpoint of the last attempt.
         self.reservation = None
 
-    async def send_until_settled(self, send_once, is_open):
-        """Send as often as is allowed; return the result that tells most.
+    async def send_with_retries(self, send_once, is_retryable):
+        """Send the call until a result is final; return the most significant result.
 
-        A repeat that is refused, or finds no place, must not hide that the sending
-        before it may have run: the caller would be told that it has not.
+        If an attempt may have run, its result is returned even if a later one was
+        refused or found no endpoint. Otherwise the caller would be told that the
+        request has not run.
         """
         last = None
         while True:
             try:
                 result = await send_once()
             except ProcessStopping:
-                # Told when to come back, the caller is served elsewhere at once.
+                # The caller is told when to retry, and is served elsewhere at once.
                 raise
             except (Overloaded, DeadlinePassed):
                 if last is None:
                     raise
-                return self.ran or last
+                return self.possible_run or last
             if not isinstance(result, NotRun):
-                self.ran = result
-            if not is_open(result) or not self.may_send_again():
-                return self.ran or result
+                self.possible_run = result
+            if not is_retryable(result) or not self.may_retry():
+                return self.possible_run or result
             last = result
 
-    def choose(self) -> ListedEndpoint:
-        """Return an endpoint; raise Overloaded or Unavailable."""
+    def choose_endpoint(self) -> ListedEndpoint:
+        """Return an endpoint for the next attempt; raise Overloaded or Unavailable."""
         call = self.call
         placed = self.gateway.directory.choose_endpoint(
             call.service, self.tried, call.is_caller_retry
         )
         match placed:
             case Chosen(endpoint, load):
-                self.check_stop()
+                self.raise_if_stopping()
                 self.log_choice(endpoint, load)
                 return endpoint
             case Refused(RefusalCause.NONE_LISTED):
-                raise Unavailable(f"No endpoint of {call.service} may get work.")
+                raise Unavailable(f"No endpoint of {call.service} is available.")
             case Refused(cause):
                 raise Overloaded(f"{call.service}: {cause}.")
 
     def log_choice(self, endpoint, load):
+        """Log that the call is sent to an endpoint with a load."""
         event = RequestSent(
             request=self.call.head.request_id,
             endpoint=endpoint.name,
@@ -106,30 +108,33 @@
         )
         log_event(logger, event)
 
-    def check_stop(self):
-        """Refuse to begin what the end of this process might cut.
+    def raise_if_stopping(self):
+        """Raise ProcessStopping for a call that the end of this process might cut off.
 
-        A slow body brings a request here long after it came, and one that was not run
-        at an endpoint is sent anew when much of the stop's time has passed. What may
-        have run is sent again all the same: cut now or later, its caller has no answer,
-        and no refusal could say that it has not run.
+        A request with a slow body, or one that an endpoint did not run, may be sent
+        when much of the time of the stop has passed. A call that may have run is sent
+        again nevertheless: its caller has no answer either way, and a refusal would
+        say that the call has not run.
         """
         plan = self.gateway.stop_plan
-        if plan is None or self.ran is not None:
+        if plan is None or self.possible_run is not None:
             return
-        if not plan.accepts(self.loop.time(), self.call.ends_at):
-            raise refuse_at_stop()
+        if not plan.accepts(self.loop.time(), self.call.deadline):
+            raise build_stopping_error()
 
     async def open(self, last_event_id=""):
-        """Send the call once: Opened, NotRun or Lost; raise when it can't be sent."""
+        """Send the call once; return OpenedAnswer, NotRun or Lost.
+
+        Raise an error if there is no endpoint for it or too little time is left.
+        """
         call = self.call
-        endpoint = self.choose()
-        left = call.ends_at - self.loop.time() - WAY_SECONDS
-        if left < LEAST_SECONDS:
+        endpoint = self.choose_endpoint()
+        seconds_left = call.deadline - self.loop.time() - ANSWER_TRANSIT_SECONDS
+        if seconds_left < MINIMUM_SECONDS_LEFT:
             raise DeadlinePassed("Too little time is left to send it.")
-        send = SendHead(
+        send = ForwardHead(
             endpoint_name=endpoint.name,
-            patience=left,
+            seconds_left=seconds_left,
             organisation=call.organisation,
             priority=call.priority,
             last_event_id=last_event_id or call.head.last_event_id,
@@ -139,10 +144,10 @@
         self.reservation = self.gateway.directory.reserve(
             endpoint, call.head.prompt_tokens
         )
-        opened = await open_answer(
+        opened = await send_call(
             self.gateway.session, self.gateway.adapter, call, endpoint, send
         )
-        self.settle(endpoint, opened)
+        self.record_outcome(endpoint, opened)
         if isinstance(opened, NotRun) and opened.answer is not None:
             everywhere = self.refusals.is_service_wide(self.loop.time())
             return replace(opened, everywhere=everywhere)
@@ -150,69 +155,72 @@
 
     @property
     def refusals(self):
+        """Return the recent refusals of the endpoints of the call's service."""
         return self.gateway.directory.refusals[self.call.service]
 
-    def first_event(self):
-        """Note that the endpoint has read the prompt."""
+    def record_first_event(self):
+        """Record that the endpoint has read the prompt and sent its first event."""
         seconds = self.loop.time() - self.call.arrived
         self.gateway.metrics.first_event.labels(self.call.service).observe(seconds)
         self.reservation.mark_prompt_read()
 
     def release(self):
-        """Take the newest sending's charge off its endpoint."""
+        """Release the reservation at the endpoint of the last attempt."""
         if self.reservation is not None:
             self.reservation.release()
             self.reservation = None
 
-    def settle(self, endpoint, opened):
-        """Note what the sending says of its endpoint."""
+    def record_outcome(self, endpoint, opened):
+        """Record the result of an attempt and what it says about its endpoint."""
         directory = self.gateway.directory
         history = directory.history(endpoint)
         match opened:
-            case NotRun(answer=Answered(head)) | Opened(head):
+            case NotRun(answer=Answered(head)) | OpenedAnswer(head):
                 if head.status != MISDIRECTED_STATUS:
                     directory.record_rate(endpoint, head.rate)
         match opened:
             case NotRun(reason, answer):
-                self.arrived |= answer is not None
+                self.may_have_arrived |= answer is not None
                 if answer is None or answer.head.status == MISDIRECTED_STATUS:
                     history.failed(self.loop.time())
                 else:
                     self.sent += 1
                     self.refusals.refused(endpoint.name, self.loop.time())
                 self.gateway.metrics.sent("not-run")
-                self.log_end(endpoint, "not run", reason)
+                self.log_failure(endpoint, "not run", reason)
             case Lost(reason):
-                self.arrived = True
+                self.may_have_arrived = True
                 self.sent += 1
                 history.failed(self.loop.time())
                 self.gateway.metrics.sent("lost")
-                self.log_end(endpoint, "lost", reason)
+                self.log_failure(endpoint, "lost", reason)
             case _:
-                self.arrived = True
+                self.may_have_arrived = True
                 self.sent += 1
                 self.gateway.metrics.sent("opened")
                 history.succeeded()
                 self.refusals.answered()
 
-    def log_end(self, endpoint, result, reason):
+    def log_failure(self, endpoint, result, reason):
+        """Log an attempt without an answer of the endpoint's own."""
         request_id = self.call.head.request_id
         log_event(logger, SendingFailed(request_id, endpoint.name, result, reason))
 
-    def may_send_again(self):
-        """Tell whether the route, the time and the service's budget allow another.
+    def may_retry(self):
+        """Return whether the route, the deadline and the retry budget allow a retry.
 
-        Raise ProcessStopping if only the stop of this process is against it.
+        Raise ProcessStopping if the route and the deadline allow it but this process
+        stops before the deadline.
         """
         call = self.call
         if self.sent >= call.route.maximum_attempts:
             return False
         now = self.loop.time()
-        if call.ends_at - now - WAY_SECONDS < LEAST_SECONDS:
+        if call.deadline - now - ANSWER_TRANSIT_SECONDS < MINIMUM_SECONDS_LEFT:
             return False
-        self.check_stop()
-        if not self.arrived:
-            # Nothing has arrived anywhere, so that it is no repeat.
+        self.raise_if_stopping()
+        if not self.may_have_arrived:
+            # No endpoint received the request, so this is no retry for the budget.
             return True
         return self.gateway.retries[call.service].spend(
             now, self.gateway.peers.count_sharing_gateways()
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/call.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/call.py
@@ -1,4 +1,4 @@
-"""Hold one caller's request and the ways in which its sending can end."""
+"""Define an admitted request and the possible results of sending it."""
 
 from dataclasses import dataclass
 
@@ -8,27 +8,27 @@
 
 @dataclass(slots=True, frozen=True)
 class Call:
-    """Hold a request that was admitted; times are loop time in seconds."""
+    """Hold an admitted request; times are loop time in seconds."""
 
     head: CallHead
     route: Route
     service: str
     organisation: str
     priority: int
-    # The caller was refused before and comes back: its answer is late in any case.
+    # Whether the caller was refused before and retries: its answer is late in any case.
     is_caller_retry: bool
     method: str
-    # Path and query as they came.
+    # Path and query as received.
     target: str
     body: bytes
     arrived: float
-    # When the caller, or the route's timeout, gives up.
-    ends_at: float
+    # End of the caller's time or of the route's timeout, whichever is earlier.
+    deadline: float
 
 
 @dataclass(slots=True, frozen=True)
 class Answered:
-    """Hold an endpoint's whole answer."""
+    """Hold the complete answer of an endpoint."""
 
     head: AnswerHead
     body: bytes
@@ -36,29 +36,29 @@
 
 @dataclass(slots=True, frozen=True)
 class NotRun:
-    """Say that an endpoint provably did not run the request."""
+    """Report that an endpoint provably did not run the request."""
 
     reason: str
-    # The endpoint's own refusal, if it gave one.
+    # The endpoint's refusal, if it sent one.
     answer: Answered | None = None
-    # All endpoints of the service refuse at the moment.
+    # Whether the whole service refuses requests at the moment.
     everywhere: bool = False
 
 
 @dataclass(slots=True, frozen=True)
 class Lost:
-    """Say that the request may have run and that its answer can't be had."""
+    """Report that the request may have run and that its answer is lost."""
 
     reason: str
 
 
 @dataclass(slots=True, frozen=True)
 class StreamEnded:
-    """Say that a stream came to its proper end."""
+    """Report that a stream ended properly."""
 
 
 @dataclass(slots=True, frozen=True)
 class StreamBroken:
-    """Say that a stream broke off."""
+    """Report that a stream broke off after its first event was sent to the caller."""
 
     reason: str
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/events.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/events.py
@@ -1,55 +1,60 @@
-"""Split a stream into its events."""
+"""Split a stream of bytes into its events."""
 
 import re
 from dataclasses import dataclass
 
-# An event's lines end at an empty one.
+# An event ends with an empty line.
 BOUNDARY = re.compile(rb"\r?\n\r?\n")
 ID_FIELD = b"id:"
-# An event is some hundred bytes; without a bound a broken endpoint fills the memory.
+# Events have some hundred bytes. Without a bound a faulty endpoint could fill the
+# memory.
 MAXIMUM_EVENT_BYTES = 1024 * 1024
 
 
 class EventTooLongError(Exception):
-    """Report a stream that does not end an event within the bound."""
+    """Report an event that is longer than MAXIMUM_EVENT_BYTES."""
 
 
 @dataclass(slots=True, frozen=True)
 class Event:
-    """Hold one whole event as it came, and its id; empty when it has none."""
+    """Hold the bytes of one complete event and its id, which may be empty."""
 
     raw: bytes
     id: str
 
 
 class EventSplitter:
-    """Collect bytes and give out whole events.
+    """Split received bytes into complete events.
 
-    An endpoint may die in the middle of an event. A part of one that had been passed
-    on would be joined to the event with which another endpoint resumes.
+    An endpoint may fail in the middle of an event. If a part of it had been forwarded,
+    the caller would read it as one with the event with which another endpoint resumes.
     """
 
-    __slots__ = ("rest",)
+    __slots__ = ("remainder",)
 
     def __init__(self):
-        self.rest = b""
+        self.remainder = b""
 
     def feed(self, data):
-        """Return the events that are whole now."""
-        data = self.rest + data
+        """Add bytes and return the events that are complete now.
+
+        Raise EventTooLongError.
+        """
+        data = self.remainder + data
         events = []
         begin = 0
         for boundary in BOUNDARY.finditer(data):
             raw = data[begin : boundary.end()]
             events.append(Event(raw, find_id(raw)))
             begin = boundary.end()
-        self.rest = data[begin:]
-        if len(self.rest) > MAXIMUM_EVENT_BYTES:
+        self.remainder = data[begin:]
+        if len(self.remainder) > MAXIMUM_EVENT_BYTES:
             raise EventTooLongError
         return events
 
 
 def find_id(raw):
+    """Return the id in the bytes of an event; empty if it has none."""
     for line in raw.splitlines():
         if line.startswith(ID_FIELD):
             return line[len(ID_FIELD) :].strip().decode(errors="replace")
@@ -57,9 +62,9 @@
 
 
 def is_after(event_id, last_id):
-    """Tell whether an event is a later one; ids that are no numbers are taken as such.
+    """Return whether an event comes after the last one; always if ids aren't numbers.
 
-    An endpoint that resumes may repeat what the caller already has.
+    An endpoint that resumes a stream may repeat events that the caller already has.
     """
     if not event_id.isdigit() or not last_id.isdigit():
         return True
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/handler.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/handler.py
@@ -25,17 +25,17 @@
 logger = logging.getLogger(__name__)
 
 STREAM = web.RequestKey("stream", StreamRun)
-# What becomes of a request, beside that it is answered.
+# Results of a request other than those of fescuedrum.events.requests.
 FAILED = "failed"
 REFUSED = "refused"
 LEFT = "left"
 ENDED_BY_STOP = "the process stopped"
-# A caller that says nothing is taken to wait as long as most programs do.
-DEFAULT_PATIENCE_SECONDS = 10.0
+# Assumed for a caller that names no deadline; most programs wait about this long.
+DEFAULT_DEADLINE_SECONDS = 10.0
 
 
 class RequestHandler:
-    """Serve the callers of one gateway."""
+    """Handle the requests of one gateway's callers."""
 
     __slots__ = ("gateway", "loop")
 
@@ -44,21 +44,21 @@
         self.loop = asyncio.get_running_loop()
 
     async def handle(self, http_request):
-        """Serve one request to its outcome."""
+        """Return the response to a request; record it if it is interrupted."""
         arrived = self.loop.time()
         self.gateway.running += 1
         try:
             return await self.answer(http_request, arrived)
         except (asyncio.CancelledError, ConnectionError):
-            # A process that woke writes to a caller who is long gone before it is told
-            # of that: the write fails, and no handler is cancelled.
-            self.cut_off(http_request, arrived)
+            # After a suspend of the machine, a write to a caller that has disconnected
+            # fails before the event loop learns of it and cancels the handler.
+            self.record_interruption(http_request, arrived)
             raise
         finally:
             self.gateway.running -= 1
 
-    def cut_off(self, http_request, arrived):
-        """Count and log that an answer was broken off, by its caller or by a stop."""
+    def record_interruption(self, http_request, arrived):
+        """Count and log an answer that its caller or a stop has interrupted."""
         plan = self.gateway.stop_plan
         if plan is not None and plan.is_over(self.loop.time()):
             seconds = round(self.loop.time() - arrived, 4)
@@ -66,14 +66,14 @@
             log_event(logger, RequestEnded(request_id, CUT, ENDED_BY_STOP, seconds))
             self.gateway.metrics.ended("", CUT, seconds)
         else:
-            self.caller_left(http_request, arrived)
+            self.record_caller_left(http_request, arrived)
 
-    def caller_left(self, http_request, arrived):
-        """Count and log that a caller's connection was gone before its answer was."""
+    def record_caller_left(self, http_request, arrived):
+        """Count and log that a caller disconnected before the end of its answer."""
         now = self.loop.time()
         last_event = silent = None
-        if (run := http_request.get(STREAM)) and run.event_at is not None:
-            last_event, silent = run.last_id, round(now - run.event_at, 4)
+        if (run := http_request.get(STREAM)) and run.last_event_at is not None:
+            last_event, silent = run.last_event_id, round(now - run.last_event_at, 4)
         event = CallerLeft(
             request=http_request.get(REQUEST_ID, ""),
             seconds=round(now - arrived, 4),
@@ -84,22 +84,25 @@
         self.gateway.metrics.ended("", LEFT, event.seconds)
 
     async def answer(self, http_request, arrived):
+        """Admit and serve a request, or refuse it; return the response."""
         request_id = ""
-        patience = DEFAULT_PATIENCE_SECONDS
+        seconds_left = DEFAULT_DEADLINE_SECONDS
         try:
             head = self.gateway.adapter.read_call(http_request.headers)
             request_id = http_request[REQUEST_ID] = head.request_id
-            patience = patience if head.patience is None else head.patience
+            seconds_left = (
+                seconds_left if head.seconds_left is None else head.seconds_left
+            )
             call = await admit(http_request, head, self.gateway, arrived)
             if plan := self.gateway.stop_plan:
                 plan.record_accepted(self.loop.time())
                 log_taken_while_stopping(
-                    plan, request_id, call.ends_at, http_request.protocol
+                    plan, request_id, call.deadline, http_request.protocol
                 )
             self.gateway.retries[call.service].request(arrived)
             return await self.serve(http_request, call)
         except FescuedrumError as error:
-            self.say_when_to_return(error, patience - (self.loop.time() - arrived))
+            self.set_retry_after(error, seconds_left - (self.loop.time() - arrived))
             return self.refuse(error, request_id, arrived)
         except ConnectionError:
             raise
@@ -108,6 +111,7 @@
             return self.refuse(FescuedrumError(), request_id, arrived)
 
     async def serve(self, http_request, call):
+        """Send an admitted call to endpoints and return the response."""
         if not call.route.kind.is_stream:
             return self.reply(call, await PlainRun(call, self.gateway).run())
         run = http_request[STREAM] = StreamRun(call, self.gateway, http_request)
@@ -116,33 +120,36 @@
             case Answered():
                 return self.reply(call, result)
             case StreamBroken(reason):
-                self.end(call, CUT, reason)
-                # Without its last chunk the caller sees that the answer is cut.
+                self.record_end(call, CUT, reason)
+                # Closing without the last chunk shows the caller that the answer is
+                # incomplete.
                 http_request.transport.close()
             case StreamEnded():
-                self.end(call, ANSWERED, "stream")
+                self.record_end(call, ANSWERED, "stream")
         return run.response
 
     def reply(self, call, answer):
+        """Return the response with an endpoint's complete answer."""
         result = ANSWERED if answer.head.succeeded else FAILED
-        self.end(call, result, f"status {answer.head.status}")
+        self.record_end(call, result, f"status {answer.head.status}")
         return web.Response(
             status=answer.head.status, headers=answer.head.headers, body=answer.body
         )
 
-    def end(self, call, result, detail):
+    def record_end(self, call, result, detail):
         """Count and log the end of a request that was sent."""
         seconds = round(self.loop.time() - call.arrived, 4)
         self.gateway.metrics.ended(call.service, result, seconds)
         log_event(logger, RequestEnded(call.head.request_id, result, detail, seconds))
 
-    def say_when_to_return(self, error, patience):
-        """Set the time after which a refused caller should come back."""
+    def set_retry_after(self, error, seconds_left):
+        """Set when a caller that is refused for overload should retry."""
         if not isinstance(error, Overloaded) or error.retry_after is not None:
             return
-        error.retry_after = retry_delay(max(patience, 0.0), self.gateway.random)
+        error.retry_after = retry_delay(max(seconds_left, 0.0), self.gateway.random)
 
     def refuse(self, error, request_id, arrived):
+        """Count and log a refusal by the gateway itself and return its response."""
         event = RequestRefused(
             request=request_id,
             code=error.code,
@@ -157,6 +164,6 @@
         headers = self.gateway.adapter.refusal_headers(request_id, error.retry_after)
         response = web.Response(status=error.status, text=str(error), headers=headers)
         if error.closes_connection or isinstance(error, BadRequest):
-            # The rest of what the caller sends would be read as another request.
+            # What the caller still sends of this request would be read as the next one.
             response.force_close()
         return response
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/plain.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/plain.py
@@ -1,4 +1,4 @@
-"""Carry out a request whose answer comes in one piece."""
+"""Run a request whose answer is not a stream."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
 
 
 class PlainRun:
-    """Send a call until an endpoint answers or no further sending is allowed."""
+    """Send a call until an endpoint answers or no retry is allowed."""
 
     __slots__ = ("attempts", "call")
 
@@ -24,29 +24,33 @@
         self.attempts = Attempts(call, gateway)
 
     async def run(self):
-        """Return the endpoint's answer; raise a FescuedrumError instead."""
+        """Return an endpoint's answer; raise a FescuedrumError if there is none."""
         try:
-            async with asyncio.timeout_at(self.call.ends_at):
-                return settle(
-                    await self.attempts.send_until_settled(self.send_once, self.is_open)
+            async with asyncio.timeout_at(self.call.deadline):
+                return answer_or_raise(
+                    await self.attempts.send_with_retries(
+                        self.send_once, self.is_retryable
+                    )
                 )
         except TimeoutError:
-            raise AnswerOverdue("No answer came in the caller's time.") from None
+            raise AnswerOverdue("No answer came before the deadline.") from None
         finally:
             self.attempts.release()
 
     async def send_once(self):
+        """Send the call once; return Answered, NotRun or Lost."""
         opened = await self.attempts.open()
         if isinstance(opened, NotRun | Lost):
             return opened
         return await opened.read()
 
-    def is_open(self, result):
-        return is_open(result, self.call.route.kind)
+    def is_retryable(self, result):
+        """Return whether sending the call again could give a better result."""
+        return is_retryable(result, self.call.route.kind)
 
 
-def is_open(result, kind):
-    """Tell whether sending a call again could give a better result."""
+def is_retryable(result, kind):
+    """Return whether sending a call again could give a better result."""
     match result:
         case NotRun(everywhere=everywhere):
             return not everywhere
@@ -56,8 +60,8 @@
             return kind.is_repeatable
 
 
-def settle(result):
-    """Return the answer that a caller gets; raise when there is none."""
+def answer_or_raise(result):
+    """Return the Answered for the caller; raise a FescuedrumError if there is none."""
     match result:
         case Answered():
             return result
@@ -66,4 +70,4 @@
         case NotRun(reason):
             raise Unavailable(reason)
         case Lost(reason):
-            raise AnswerLost(f"Its last sending: {reason}.")
+            raise AnswerLost(f"Last attempt: {reason}.")
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/stream.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/stream.py
@@ -1,4 +1,4 @@
-"""Carry out a request whose answer is a stream of events."""
+"""Run a request whose answer is a stream of events."""
 
 import asyncio
 import logging
@@ -28,19 +28,19 @@
 
 
 class StreamRun:
-    """Pass events on as they come, and go on at another endpoint when one breaks off.
+    """Forward events as they arrive; resume at another endpoint after a failure.
 
-    The caller's answer begins with the first whole event: until then a failed sending
-    can still be repeated, or be told by its status.
+    The response to the caller begins with the first complete event. Until then a failed
+    attempt can be retried, or be reported by an error status.
     """
 
     __slots__ = (
         "attempts",
         "call",
-        "event_at",
         "gateway",
         "http_request",
-        "last_id",
+        "last_event_at",
+        "last_event_id",
         "loop",
         "response",
     )
@@ -51,46 +51,52 @@
         self.http_request = http_request
         self.attempts = Attempts(call, gateway)
         self.response = None
-        # Id of the last event that went to the caller.
-        self.last_id = ""
+        # Id of the last event that was sent to the caller.
+        self.last_event_id = ""
         self.loop = asyncio.get_running_loop()
-        # When the present endpoint's last event came; None before its first.
-        self.event_at = None
+        # When the present endpoint's last event arrived; None before its first one.
+        self.last_event_at = None
 
     async def run(self):
-        """Return Answered, or StreamEnded or StreamBroken once events have left."""
+        """Return Answered; StreamEnded or StreamBroken once events were sent."""
         try:
-            async with asyncio.timeout_at(self.call.ends_at):
-                return self.settle(
-                    await self.attempts.send_until_settled(self.send_once, self.is_open)
+            async with asyncio.timeout_at(self.call.deadline):
+                return self.resolve(
+                    await self.attempts.send_with_retries(
+                        self.send_once, self.is_retryable
+                    )
                 )
         except TimeoutError:
             if self.response is None:
-                raise AnswerOverdue("No event came in the caller's time.") from None
-            return StreamBroken("the caller's time was over")
+                raise AnswerOverdue("No event came before the deadline.") from None
+            return StreamBroken("the caller's deadline passed")
         finally:
             self.attempts.release()
 
-    def is_open(self, result):
-        """Tell whether going on at another endpoint could help."""
+    def is_retryable(self, result):
+        """Return whether sending the call again could give a better result."""
         match result:
             case StreamEnded():
                 return False
             case StreamBroken():
                 return self.call.route.kind.is_repeatable
             case _:
-                return plain.is_open(result, self.call.route.kind)
+                return plain.is_retryable(result, self.call.route.kind)
 
-    def settle(self, result):
-        """Return what becomes of the caller's answer; raise if it has not begun."""
+    def resolve(self, result):
+        """Return the final result for the caller.
+
+        Raise a FescuedrumError if no response has begun and there is no answer.
+        """
         if isinstance(result, StreamEnded | StreamBroken):
             return result
         if self.response is not None:
-            return StreamBroken(f"could not go on elsewhere: {result}")
-        return plain.settle(result)
+            return StreamBroken(f"could not resume at another endpoint: {result}")
+        return plain.answer_or_raise(result)
 
     async def send_once(self):
-        opened = await self.attempts.open(self.last_id)
+        """Send the call once and forward its events; return the result."""
+        opened = await self.attempts.open(self.last_event_id)
         if isinstance(opened, NotRun | Lost):
             return opened
         if not opened.head.succeeded:
@@ -101,55 +107,64 @@
             opened.close()
 
     async def relay(self, opened):
-        """Pass one endpoint's events on to its end: StreamEnded, StreamBroken or Lost.
+        """Forward one endpoint's events until its stream ends; return the result.
 
-        A stream that breaks off before its first event has told the caller nothing yet.
+        A stream that breaks off before its first event gives Lost, as nothing was sent
+        to the caller yet, and StreamBroken later. One without events gives Answered.
         """
         splitter = EventSplitter()
-        self.event_at = None
+        self.last_event_at = None
         try:
             async for chunk in opened.chunks():
                 for event in splitter.feed(chunk):
-                    await self.pass_on(event, opened.head)
+                    await self.forward_event(event, opened.head)
         except (TimeoutError, aiohttp.ClientError, EventTooLongError, OSError) as error:
-            if self.caller_left():
+            if self.has_caller_left():
                 raise
-            return self.broken(f"stream broke off: {error!r}")
-        if splitter.rest:
-            return self.broken("stream ended within an event")
+            return self.handle_break(f"stream broke off: {error!r}")
+        if splitter.remainder:
+            return self.handle_break("stream ended within an event")
         if self.response is None:
             return Answered(opened.head, b"")
         return StreamEnded()
 
-    def broken(self, reason):
+    def handle_break(self, reason):
+        """Log that a stream broke off; return Lost or StreamBroken."""
         request_id = self.call.head.request_id
-        log_event(logger, events.StreamBroken(request_id, reason, self.last_id))
+        log_event(logger, events.StreamBroken(request_id, reason, self.last_event_id))
         return Lost(reason) if self.response is None else StreamBroken(reason)
 
-    def caller_left(self):
+    def has_caller_left(self):
+        """Return whether the caller's connection is closed."""
         transport = self.http_request.transport
         return transport is None or transport.is_closing()
 
-    async def pass_on(self, event, head):
-        if self.last_id and event.id and not is_after(event.id, self.last_id):
+    async def forward_event(self, event, head):
+        """Send an event to the caller unless it already has it."""
+        if (
+            self.last_event_id
+            and event.id
+            and not is_after(event.id, self.last_event_id)
+        ):
             return
         if self.response is None:
-            await self.begin(head)
-            self.attempts.first_event()
-        self.note_pace()
+            await self.start_response(head)
+            self.attempts.record_first_event()
+        self.record_pace()
         await self.response.write(event.raw)
-        self.last_id = event.id or self.last_id
+        self.last_event_id = event.id or self.last_event_id
 
-    def note_pace(self):
-        """Take the time since the last event as the length of a pass."""
+    def record_pace(self):
+        """Record the time since the last event as the duration of a pass."""
         now = self.loop.time()
-        if self.event_at is not None:
+        if self.last_event_at is not None:
             self.gateway.pass_timers[self.call.service].observe(
-                now - self.event_at, now
+                now - self.last_event_at, now
             )
-        self.event_at = now
+        self.last_event_at = now
 
-    async def begin(self, head):
+    async def start_response(self, head):
+        """Send the head of the response to the caller."""
         self.response = web.StreamResponse(status=head.status, headers=head.headers)
         self.response.enable_chunked_encoding()
         if self.http_request.protocol.ends_after_response:
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/version/__init__.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/version/__init__.py
@@ -1,1 +1,1 @@
-"""Hold what lives as long as one version of the configuration."""
+"""Contain the code whose state lasts as long as one version of the configuration."""
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/version/configuration.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/version/configuration.py
@@ -1,4 +1,4 @@
-"""Hold the routing configuration in force at this process."""
+"""Hold the routing configuration that is in force in this process."""
 
 import logging
 
@@ -9,20 +9,21 @@
 
 
 class RoutingConfiguration:
-    """Keep the newest routing table seen; its version only rises in one life."""
+    """Hold the newest routing table; its version never falls while the process runs."""
 
-    __slots__ = ("read_at", "table")
+    __slots__ = ("in_force_since", "table")
 
     def __init__(self):
         self.table = None
-        self.read_at = None
+        self.in_force_since = None
 
     @property
     def version(self):
+        """Return the version of the table in force; -1 for none."""
         return -1 if self.table is None else self.table.version
 
     def update_if_newer(self, table, now):
-        """Put a table in force if it is newer; tell whether."""
+        """Put a table in force if it is newer; return whether it was."""
         if table.version <= self.version:
             return False
         event = ConfigurationInForce(
@@ -32,6 +33,6 @@
             organisations=len(table.document.organisations),
         )
         self.table = table
-        self.read_at = now
+        self.in_force_since = now
         log_event(logger, event)
         return True
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/version/replica.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/version/replica.py
@@ -1,77 +1,86 @@
-"""Hold a copy of a table of the platform that only moves forward."""
+"""Hold a copy of a table of the platform's store whose version never falls."""
 
 from collections import deque
 
 from fescuedrum.platform.interfaces import Changes, VersionedRow
 
-# Deletions kept for peers that ask what has changed. A peer that is further behind is
-# given the whole table; an installation loses some tens of rows a minute.
-TOMBSTONES = 1000
+# Number of deletions kept for peers that ask for changes. A peer that is further behind
+# gets the whole table. An installation deletes some tens of rows a minute.
+MAXIMUM_TOMBSTONES = 1000
 
 
 class Replica:
-    """Keep the rows of one table as of the highest version seen.
+    """Hold the rows of one table as of the highest version seen.
 
-    The store may answer a read from behind, and peers lag. Each row is taken only if
-    its version is above the one held here, and a whole read only if it is as new as
-    everything held; so what was in force never comes back.
+    Replicas of the store and peers may lag. So a row is applied only if its version is
+    higher than that of the row held here, and a read of the whole table only if it is
+    not older than the copy. An older state is therefore never restored.
     """
 
-    __slots__ = ("floor", "rows", "table", "tombstones", "version")
+    __slots__ = ("history_start", "rows", "table", "tombstones", "version")
 
     def __init__(self, table):
         self.table = table
         self.rows = {}
         self.tombstones = deque()
-        # Version up to which everything has been applied; -1 before the first read.
+        # Version up to which all changes have been applied; -1 before the first read.
         self.version = -1
-        # Changes at or below this version can't be told one by one.
-        self.floor = -1
+        # Lowest version after which all changes are known; for a lower one,
+        # changes_after() returns the whole table.
+        self.history_start = -1
 
     @property
     def loaded(self):
+        """Return whether the table has been read."""
         return self.version >= 0
 
     def apply(self, changes):
-        """Take changes; return the rows that are new here, deletions among them."""
+        """Apply changes; return the rows that are new here, deletions included."""
         if changes.version < self.version:
             return []
         if changes.whole:
-            fresh = self.apply_whole(changes)
+            new_rows = self.apply_whole(changes)
         else:
-            fresh = [row for row in changes.rows if self.take(row)]
+            new_rows = [row for row in changes.rows if self.apply_row(row)]
         self.version = max(self.version, changes.version)
-        return fresh
+        return new_rows
 
     def apply_whole(self, changes):
-        if self.floor < 0:
-            self.floor = changes.version
+        """Apply a read of the whole table; rows that it lacks count as deleted."""
+        if self.history_start < 0:
+            self.history_start = changes.version
         present = {row.key for row in changes.rows}
         gone = [
             VersionedRow(key, None, changes.version)
             for key in self.rows
             if key not in present
         ]
-        return [row for row in (*changes.rows, *gone) if self.take(row)]
+        return [row for row in (*changes.rows, *gone) if self.apply_row(row)]
 
-    def take(self, row):
-        held = self.rows.get(row.key)
-        if held is not None and row.version <= held.version:
+    def apply_row(self, row):
+        """Apply a row; return False if it is old or deletes an unknown row."""
+        current = self.rows.get(row.key)
+        if current is not None and row.version <= current.version:
             return False
         if row.value is not None:
             self.rows[row.key] = row
             return True
-        if held is None:
+        if current is None:
             return False
         del self.rows[row.key]
         self.tombstones.append(row)
-        while len(self.tombstones) > TOMBSTONES:
-            self.floor = max(self.floor, self.tombstones.popleft().version)
+        while len(self.tombstones) > MAXIMUM_TOMBSTONES:
+            self.history_start = max(
+                self.history_start, self.tombstones.popleft().version
+            )
         return True
 
     def changes_after(self, version):
-        """Return what a copy at version lacks; all rows if deletions are forgotten."""
-        if version < self.floor:
+        """Return the changes after a version.
+
+        Return the whole table if deletions since then have been dropped.
+        """
+        if version < self.history_start:
             return Changes(list(self.rows.values()), self.version, whole=True)
         rows = [row for row in self.rows.values() if row.version > version]
         rows += [row for row in self.tombstones if row.version > version]
--- a/tests/support/dialect.py
+++ b/tests/support/dialect.py
@@ -112,7 +112,7 @@
         return CallHead(
             request_id=headers.get("Request-Id", ""),
             key=headers.get("Key", ""),
-            patience=None if patience is None else float(patience),
+            seconds_left=None if patience is None else float(patience),
             prompt_tokens=int(headers.get("Prompt", 0)),
             last_event_id=headers.get("Last-Event", ""),
             headers=end_to_end_headers(headers, without=REPLACED),
@@ -122,7 +122,7 @@
         return [
             *head.headers,
             ("Endpoint", send.endpoint_name),
-            ("Patience", f"{send.patience:.3f}"),
+            ("Patience", f"{send.seconds_left:.3f}"),
             ("Organisation", send.organisation),
             ("Last-Event", send.last_event_id),
         ]
--- a/tests/unit/test_followers.py
+++ b/tests/unit/test_followers.py
@@ -16,7 +16,7 @@
 
 
 class CountingStore(MemoryRowStore):
-    """Count the calls for changes."""
+    """Count the calls that wait for changes."""
 
     def __init__(self):
         super().__init__()
@@ -28,18 +28,18 @@
 
 
 class NoPeers:
-    """Leave the store to this gateway."""
+    """Stand in for Peers of a gateway that is alone."""
 
     def must_follow_store(self):
         return True
 
 
-def test_engines_that_register_together_cost_few_calls_and_are_known_at_once():
-    """Each of a thousand engines that start together costs a call of every reader."""
+def test_simultaneous_registrations_cost_few_calls_and_are_applied_promptly():
+    """Each engine of many that start together costs every reader a call."""
 
     async def run():
         store = CountingStore()
-        taken = {}
+        applied_at = {}
         loop = asyncio.get_running_loop()
         follower = TableFollower(
             "endpoints",
@@ -50,20 +50,20 @@
             settings=None,
             random=random.Random(1),
         )
-        follower.take = lambda rows: taken.update(
+        follower.on_rows = lambda rows: applied_at.update(
             (row.key, loop.time()) for row in rows
         )
         following = asyncio.create_task(follower.run())
         await asyncio.sleep(1.0)
         store.calls = 0
-        written = {}
+        written_at = {}
         for number in range(CHANGES):
-            written[f"engine-{number}"] = loop.time()
+            written_at[f"engine-{number}"] = loop.time()
             store.put("endpoints", f"engine-{number}", number)
             await asyncio.sleep(APART_SECONDS)
         await asyncio.sleep(1.0)
         following.cancel()
-        return store.calls, [taken[name] - at for name, at in written.items()]
+        return store.calls, [applied_at[name] - at for name, at in written_at.items()]
 
     calls, delays = run_paused(run())
     assert calls <= MOST_CALLS
--- a/tests/unit/test_platform_adapter.py
+++ b/tests/unit/test_platform_adapter.py
@@ -1,4 +1,4 @@
-"""Check what the adapter reads of the platform's rows, headers and answers."""
+"""Check how the adapter translates the platform's rows, headers, answers and orders."""
 
 import base64
 import json
@@ -17,7 +17,7 @@
 )
 from fescuedrum.groups.engines import ArmMap, HoldPass, PrepareMap, ReleasePass
 from fescuedrum.platform.interfaces import VersionedRow
-from fescuedrum_gateway.adapter import SendHead, ZoneOut
+from fescuedrum_gateway.adapter import ForwardHead, ZoneOut
 from fescuedrum_platform import documents, engines, headers, listing
 from fescuedrum_platform.store import PlatformStore
 
@@ -69,7 +69,7 @@
     return VersionedRow(key, raw, 1)
 
 
-def test_a_configuration_becomes_the_products_document():
+def test_configuration_is_decoded_to_a_routing_document():
     document = documents.read_operators_row(row("config", CONFIG))
     assert document.version == 7
     (route,) = document.routes
@@ -91,7 +91,7 @@
         ("stream", False, RequestKind.STREAM),
     ],
 )
-def test_the_kind_says_what_may_be_repeated(kind, resumable, expected):
+def test_route_type_is_decoded_to_a_request_kind(kind, resumable, expected):
     changed = ROUTE | {"type": kind, "resumable": resumable}
     document = documents.read_operators_row(
         row("config", CONFIG | {"routes": [changed]})
@@ -99,7 +99,7 @@
     assert document.routes[0].kind is expected
 
 
-def test_a_zone_out_and_other_rows():
+def test_zone_row_is_decoded_and_unknown_row_is_ignored():
     assert documents.read_operators_row(row("evacuate/zone-1", {})) == ZoneOut("zone-1")
     assert documents.read_operators_row(row("else", {})) is None
 
@@ -108,13 +108,13 @@
     ("field", "value"),
     [("type", "odd"), ("timeout_ms", None), ("prefix", 3), ("split", [])],
 )
-def test_an_odd_configuration_names_the_field(field, value):
+def test_error_for_a_malformed_configuration_names_the_field(field, value):
     changed = CONFIG | {"routes": [ROUTE | {field: value}]}
     with pytest.raises(RowNotUnderstood, match=field):
         documents.read_operators_row(row("config", changed))
 
 
-def test_an_entry_becomes_a_listed_endpoint():
+def test_row_is_decoded_to_a_listed_endpoint():
     endpoint = listing.read_endpoint(row("i-1", ENTRY | {"born": 17}))
     assert endpoint.name == "i-1"
     assert (endpoint.host, endpoint.port) == ("10.0.0.9", 8080)
@@ -137,17 +137,14 @@
         {key: ENTRY[key] for key in ENTRY if key != "zone"},
     ],
 )
-def test_an_odd_entry_names_no_endpoint(value):
+def test_malformed_endpoint_row_is_rejected(value):
     with pytest.raises(RowNotUnderstood):
         listing.read_endpoint(row("i-1", value))
 
 
-def test_a_caller_can_not_forge_what_gateways_say():
-    """A caller is served as another organisation.
-
-    It sends the headers that gateways set for engines.
-    """
-    told = CIMultiDict(
+def test_caller_cannot_set_headers_that_are_reserved_for_gateways():
+    """A caller that sends the gateways' headers is served as another organisation."""
+    received = CIMultiDict(
         {
             "Attempt-Id": "a",
             "Api-Key": "k1",
@@ -161,10 +158,10 @@
             "X-Mine": "kept",
         }
     )
-    head = headers.read_call(told)
-    assert head.patience == 8.05
+    head = headers.read_call(received)
+    assert head.seconds_left == 8.05
     assert head.prompt_tokens == 1460
-    send = SendHead("i-1", 7.5, "club", 12, "")
+    send = ForwardHead("i-1", 7.5, "club", 12, "")
     sent = headers.write_call(head, send)
     assert len({name.lower() for name, _ in sent}) == len(sent)
     assert dict(sent) == {
@@ -178,15 +175,15 @@
     }
 
 
-@pytest.mark.parametrize("told", [{}, {"Attempt-Id": "a", "Deadline-Ms": "soon"}])
-def test_a_request_that_can_not_be_understood_is_a_bad_one(told):
+@pytest.mark.parametrize("received", [{}, {"Attempt-Id": "a", "Deadline-Ms": "soon"}])
+def test_malformed_request_headers_are_a_bad_request(received):
     with pytest.raises(BadRequest):
-        headers.read_call(CIMultiDict(told))
+        headers.read_call(CIMultiDict(received))
 
 
-def test_what_an_answer_says():
-    told = {"Attempt-Id": "a", "Server-Stamp": "s", "Server-Load": "1,0,6"}
-    answer = headers.read_answer(200, CIMultiDict(told))
+def test_answer_headers_are_decoded():
+    received = {"Attempt-Id": "a", "Server-Stamp": "s", "Server-Load": "1,0,6"}
+    answer = headers.read_answer(200, CIMultiDict(received))
     assert answer.signed
     assert not answer.not_run
     assert dict(answer.headers) == {"Attempt-Id": "a", "Server-Stamp": "s"}
@@ -208,7 +205,7 @@
         ("", NotUnderstood("")),
     ],
 )
-def test_the_rate_that_an_engine_in_need_names(text, rate):
+def test_rate_limit_header_is_decoded_and_not_passed_on(text, rate):
     answer = headers.read_answer(200, CIMultiDict({"Server-Limit": text}))
     assert answer.rate == rate
     assert answer.headers == []
@@ -226,7 +223,7 @@
 }
 
 
-def test_a_report_of_a_rank():
+def test_report_of_a_rank_is_decoded():
     report = engines.decode_report(REPORT | {"held": 90, "prepared": 5})
     assert (report.group, report.epoch, report.rank) == ("g", 2, 3)
     assert report.is_open
@@ -237,7 +234,7 @@
     assert armed.armed_version == 5
 
 
-def test_orders_are_written_as_the_platform_names_them():
+def test_orders_are_encoded_under_the_platforms_names():
     assert engines.encode_order(PrepareMap(4, [[[0, 2], [1]]])) == {
         "op": "prepare",
         "version": 4,
@@ -248,8 +245,8 @@
     assert engines.encode_order(ReleasePass(9)) == {"op": "go", "step": 9}
 
 
-class Answering:
-    """Give pages in turn in place of HTTP calls."""
+class FakeCaller:
+    """Return prepared pages in turn in place of HTTP calls."""
 
     def __init__(self, *pages):
         self.pages = [*pages]
@@ -278,11 +275,11 @@
 
 def build_store(*pages):
     store = PlatformStore("http://x", None)
-    store.caller = Answering(*pages)
+    store.caller = FakeCaller(*pages)
     return store
 
 
-async def test_a_table_of_several_pages_is_read_whole():
+async def test_table_of_several_pages_is_read_completely():
     store = build_store(page("a", "b", version=5, more=True), page("c", version=6))
     changes = await store.read_table("t")
     assert [each.key for each in changes.rows] == ["a", "b", "c"]
@@ -291,7 +288,7 @@
     assert store.caller.params[1]["from"] == "b\0"
 
 
-async def test_deleted_rows_and_lost_history():
+async def test_deleted_rows_and_lost_history_are_reported():
     gone = {"rows": [{"key": "a", "schema_version": 9, "deleted": True}]}
     body = json.dumps(gone | {"schema_version": 9}).encode()
     store = build_store((200, body), (410, b""))
@@ -302,6 +299,6 @@
 
 
 @pytest.mark.parametrize("answer", [[], {}, {"rows": [3], "schema_version": 1}])
-async def test_an_answer_that_is_odd_is_an_outage(answer):
+async def test_malformed_answer_raises_store_unavailable(answer):
     with pytest.raises(StoreUnavailable):
         await build_store(answer).read_table("t")
--- a/tests/unit/test_replica.py
+++ b/tests/unit/test_replica.py
@@ -1,4 +1,4 @@
-"""Check that a copy of a table only moves forward."""
+"""Check that the version of a table's copy never falls."""
 
 from fescuedrum.platform.interfaces import Changes, VersionedRow
 from fescuedrum_gateway.version import replica as replicas
@@ -15,11 +15,11 @@
     return replica
 
 
-def test_a_read_from_behind_changes_nothing():
-    """A configuration that was in force is replaced by an older one.
+def test_stale_read_of_the_whole_table_is_ignored():
+    """An older configuration replaces the one in force.
 
-    The store forgot its history, so all rows are read again, and a replica of the
-    store that is seconds behind answers.
+    The store no longer has its history, so all rows are read again, and a lagging
+    replica of the store answers.
     """
     replica = build_replica(row("config", 9, b"new"), row("zone", 8))
     stale = Changes([row("config", 5, b"old")], 7, whole=True)
@@ -28,21 +28,21 @@
     assert "zone" in replica.rows
 
 
-def test_a_whole_read_tells_what_is_gone():
+def test_read_of_the_whole_table_yields_deleted_rows():
     replica = build_replica(row("a", 3), row("b", 4))
     fresh = replica.apply(Changes([row("b", 4)], 12, whole=True))
     assert fresh == [VersionedRow("a", None, 12)]
     assert set(replica.rows) == {"b"}
 
 
-def test_rows_that_come_twice_are_new_once():
+def test_row_received_twice_is_new_only_once():
     replica = build_replica()
     change = Changes([row("a", 11)], 11)
     assert replica.apply(change) == [row("a", 11)]
     assert replica.apply(change) == []
 
 
-def test_a_peer_learns_of_deletions():
+def test_changes_for_a_peer_include_deletions():
     replica = build_replica(row("a", 3), row("b", 4))
     replica.apply(Changes([row("c", 11), VersionedRow("a", None, 12)], 12))
     behind = build_replica(row("a", 3), row("b", 4))
@@ -51,8 +51,8 @@
     assert behind.version == 12
 
 
-def test_a_peer_that_is_too_far_behind_gets_the_whole_table(monkeypatch):
-    monkeypatch.setattr(replicas, "TOMBSTONES", 1)
+def test_peer_that_is_too_far_behind_gets_the_whole_table(monkeypatch):
+    monkeypatch.setattr(replicas, "MAXIMUM_TOMBSTONES", 1)
     replica = build_replica(row("a", 3), row("b", 4), row("c", 5))
     replica.apply(Changes([VersionedRow("a", None, 11)], 11))
     replica.apply(Changes([VersionedRow("b", None, 12)], 12))
--- a/tests/unit/test_stream_events.py
+++ b/tests/unit/test_stream_events.py
@@ -1,4 +1,4 @@
-"""Check that streams are passed on by whole events only."""
+"""Check that streams are split into complete events."""
 
 import pytest
 
@@ -9,34 +9,34 @@
 
 
 @pytest.mark.parametrize("size", [1, 2, 3, 7, 100])
-def test_events_are_the_same_however_their_bytes_come(size):
+def test_events_do_not_depend_on_how_bytes_are_chunked(size):
     splitter = EventSplitter()
     found = []
     for begin in range(0, len(STREAM), size):
         found += splitter.feed(STREAM[begin : begin + size])
     assert [event.id for event in found] == ["1", "2", "3"]
     assert b"".join(event.raw for event in found) == STREAM
-    assert splitter.rest == b""
+    assert splitter.remainder == b""
 
 
-def test_half_an_event_is_kept_back():
-    """A caller gets half an event joined to a whole one, and can't read either.
+def test_incomplete_event_is_held_back():
+    """A caller receives a part of an event joined to a complete one.
 
-    The endpoint died in the middle of an event, and another one resumed the stream.
+    The endpoint failed in the middle of an event, and another one resumed the stream.
     """
     splitter = EventSplitter()
     found = splitter.feed(b"id: 1\ndata: a\n\nid: 2\nda")
     assert len(found) == 1
-    assert splitter.rest == b"id: 2\nda"
+    assert splitter.remainder == b"id: 2\nda"
 
 
-def test_an_endless_event_is_given_up(monkeypatch):
+def test_event_beyond_the_bound_raises(monkeypatch):
     monkeypatch.setattr(events, "MAXIMUM_EVENT_BYTES", 10)
     with pytest.raises(EventTooLongError):
         EventSplitter().feed(b"x" * 11)
 
 
-def test_ids_that_are_no_numbers_are_taken_as_later():
+def test_ids_that_are_not_numbers_count_as_later():
     assert is_after("3", "2")
     assert not is_after("2", "2")
     assert not is_after("9", "10")
