--- a/tests/unit/test_clock.py
+++ b/tests/unit/test_clock.py
@@ -1,4 +1,4 @@
-"""Check the paused clock that other tests rely on."""
+"""Check the simulated clock that other tests use."""
 
 import asyncio
 import time
@@ -13,7 +13,7 @@
     return loop.time() - begin
 
 
-def test_an_hour_passes_at_once():
+def test_simulated_hour_takes_no_real_time():
     begin = time.monotonic()
     assert run_paused(sleep_an_hour()) >= 3600
     assert time.monotonic() - begin < 60
--- a/tests/unit/test_document.py
+++ b/tests/unit/test_document.py
@@ -1,4 +1,4 @@
-"""Check the document: faults, safety, the published schema and older documents."""
+"""Check the document's validation, schema, compatibility and guarded changes."""
 
 import copy
 import json
@@ -15,7 +15,7 @@
 DOCS = pathlib.Path(__file__).parents[2] / "docs"
 
 
-def test_the_published_schema_takes_documents_and_refuses_faults():
+def test_published_schema_accepts_valid_and_rejects_invalid_documents():
     schema = json.loads((DOCS / "document.schema.json").read_text())
     jsonschema.Draft202012Validator.check_schema(schema)
     data = json.loads(documents.encode_canonical(build_full_document()))
@@ -25,17 +25,17 @@
         jsonschema.validate(data, schema)
 
 
-def test_a_document_without_faults_has_no_findings():
+def test_valid_document_has_no_findings():
     assert documents.check_document(build_full_document()) == []
 
 
-def test_a_document_of_the_first_release_keeps_its_meaning():
-    first = {
+def test_document_of_the_first_release_is_still_understood():
+    first_release = {
         "services": [{"name": "s", "kind": "plain", "models": []}],
         "organisations": [{"name": "club", "keys": [], "weight": 1.0}],
         "zones": [{"name": "z", "state": "in"}],
     }
-    loaded = documents.parse(json.dumps(first)).unwrap()
+    loaded = documents.parse(json.dumps(first_release)).unwrap()
     assert loaded.rank_groups == []
     assert b"rank_groups" not in documents.encode_canonical(loaded)
 
@@ -72,17 +72,17 @@
 
 
 @pytest.mark.parametrize(("place", "value", "id", "where"), FAULTS)
-def test_each_fault_is_found_with_its_place_and_remedy(place, value, id, where):
+def test_each_fault_is_reported_with_path_and_hint(place, value, id, where):
     document = build_full_document()
-    part, _, field = place.partition("[0].")
-    setattr(getattr(document, part)[0], field, value)
+    section, _, field = place.partition("[0].")
+    setattr(getattr(document, section)[0], field, value)
     findings = documents.check_document(document)
     paths = [each.path for each in findings if each.id == id]
     assert paths and all(path.endswith(where) for path in paths), findings
     assert all(each.hint for each in findings)
 
 
-def test_shares_over_the_whole_of_a_service_are_found():
+def test_minimum_shares_that_exceed_a_service_are_reported():
     rules = [
         documents.SharingRule(f"r{n}", "advice", ["club"], minimum_share=0.4)
         for n in range(3)
@@ -92,6 +92,7 @@
 
 
 def take_out(document, *names):
+    """Return a copy of a document in which some zones are out of service."""
     changed = copy.deepcopy(document)
     for zone in changed.zones:
         if zone.name in names:
@@ -99,26 +100,27 @@
     return changed
 
 
-def test_the_last_zone_of_a_service_goes_out_only_with_the_word():
-    """Every booking is refused minutes after a zone is taken out for repairs.
+def test_taking_out_the_only_zone_of_a_service_needs_an_allowance():
+    """Taking a zone out stops a service whose endpoints are all in that zone.
 
-    Only that zone had endpoints of the bookings; the other zone was in, so nothing
-    warned the operator.
+    The other zone is still in service, so nothing else warns the operator.
     """
     before = build_document()
     served = {"advice": {"zone-1"}}
     (finding,) = safety.check_change(before, take_out(before, "zone-1"), (), served)
     assert finding.id == "change.E001"
-    words = (safety.Allowance.OUTAGE,)
-    assert safety.check_change(before, take_out(before, "zone-1"), words, served) == []
+    allowed = (safety.Allowance.OUTAGE,)
+    assert (
+        safety.check_change(before, take_out(before, "zone-1"), allowed, served) == []
+    )
     assert safety.check_change(before, take_out(before, "zone-2"), (), served) == []
-    every = take_out(before, "zone-1", "zone-2")
-    assert safety.check_change(before, every)
-    # What is already out is no harm of the next change.
-    assert safety.check_change(every, copy.deepcopy(every)) == []
+    all_out = take_out(before, "zone-1", "zone-2")
+    assert safety.check_change(before, all_out)
+    # A zone that is already out is not reported for the next change.
+    assert safety.check_change(all_out, copy.deepcopy(all_out)) == []
 
 
-def test_removals_need_the_word():
+def test_removals_need_an_allowance():
     before = build_document()
     after = build_document(organisations=[])
     assert [each.id for each in safety.check_change(before, after)] == ["change.E002"]
