--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/metrics.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/metrics.py
@@ -4,7 +4,7 @@
 
 NO_SERVICE = "none"
 RESULT = Label("result", "5: answered, failed, cut, refused, left")
-SENDING = Label("result", "3: opened, not-run, lost")
+ATTEMPT = Label("result", "3: opened, not-run, lost")
 CODE = Label("code", "the error codes of the callers' interface")
 CHANGE = Label("result", "3: switched, abandoned, epoch-ended")
 
@@ -44,7 +44,7 @@
         self.attempts = catalogue.counter(
             "fescuedrum_gateway_sendings_total",
             "Attempts to send a request to an endpoint, retries included.",
-            SENDING,
+            ATTEMPT,
         )
         self.refusals = catalogue.counter(
             "fescuedrum_gateway_refusals_total",
@@ -64,7 +64,7 @@
 
     def watch(self, gateway):
         """Declare the gauges that are read from a Gateway."""
-        readings = (
+        gauges = (
             ("running_requests", "Requests running now.", lambda: gateway.running),
             (
                 "configuration_version",
@@ -114,19 +114,19 @@
             ),
             ("leaving", "1 while the process stops.", lambda: gateway.leaving),
         )
-        for name, text, read in readings:
+        for name, text, read in gauges:
             self.catalogue.callback_gauge(f"fescuedrum_gateway_{name}", text, read)
 
-    def ended(self, service, result, seconds):
+    def count_request(self, service, result, seconds):
         """Count a request that ended; service is empty if it is not known."""
         self.requests.labels(service or NO_SERVICE, result).inc()
         if service:
             self.seconds.labels(service).observe(seconds)
 
-    def refused(self, code):
+    def count_refusal(self, code):
         """Count a request that the gateway refused."""
         self.refusals.labels(code).inc()
 
-    def sent(self, result):
+    def count_attempt(self, result):
         """Count an attempt to send a request to an endpoint."""
         self.attempts.labels(result).inc()
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/peers.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/peers.py
@@ -1,4 +1,7 @@
-"""Exchange beacons with other gateways: loads, rate limits and table versions."""
+"""Exchange beacons with other gateways: loads, rate limits and table versions.
+
+Gateways in one mesh send each other changes promptly (fescuedrum.decisions.meshes).
+"""
 
 import asyncio
 import collections
@@ -40,7 +43,7 @@
 MISSED_BEACONS_ALLOWED = 2.5
 # Loads reported by a gateway are ignored after it has been silent for this time.
 LOAD_EXPIRY_SECONDS = 1.5
-# A gateway is no leader after this time of silence, in which two beacons are missed.
+# A gateway can't lead after this time of silence, in which two beacons are missed.
 LEADER_EXPIRY_SECONDS = 1.0
 # A gateway no longer counts as sharing bounds and budgets after this time of silence.
 PEER_EXPIRY_SECONDS = 60.0
@@ -110,8 +113,7 @@
         # Zones whose gateways don't know of a change yet, and the timer to tell them.
         self.changed_zones = set()
         self.change_timer = None
-        # build_beacon() returns the beacon to send; on_beacon(peer) is called for each
-        # one received.
+        # Callbacks: build_beacon() to send one, on_beacon(peer) after one was received.
         self.build_beacon = lambda: Beacon()
         self.on_beacon = lambda peer: None
 
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/attempts.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/attempts.py
@@ -186,18 +186,18 @@
                 else:
                     self.sent += 1
                     self.refusals.refused(endpoint.name, self.loop.time())
-                self.gateway.metrics.sent("not-run")
+                self.gateway.metrics.count_attempt("not-run")
                 self.log_failure(endpoint, "not run", reason)
             case Lost(reason):
                 self.may_have_arrived = True
                 self.sent += 1
                 history.failed(self.loop.time())
-                self.gateway.metrics.sent("lost")
+                self.gateway.metrics.count_attempt("lost")
                 self.log_failure(endpoint, "lost", reason)
             case _:
                 self.may_have_arrived = True
                 self.sent += 1
-                self.gateway.metrics.sent("opened")
+                self.gateway.metrics.count_attempt("opened")
                 history.succeeded()
                 self.refusals.answered()
 
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/handler.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/handler.py
@@ -64,7 +64,7 @@
             seconds = round(self.loop.time() - arrived, 4)
             request_id = http_request.get(REQUEST_ID, "")
             log_event(logger, RequestEnded(request_id, CUT, ENDED_BY_STOP, seconds))
-            self.gateway.metrics.ended("", CUT, seconds)
+            self.gateway.metrics.count_request("", CUT, seconds)
         else:
             self.record_caller_left(http_request, arrived)
 
@@ -81,7 +81,7 @@
             silent_seconds=silent,
         )
         log_event(logger, event)
-        self.gateway.metrics.ended("", LEFT, event.seconds)
+        self.gateway.metrics.count_request("", LEFT, event.seconds)
 
     async def answer(self, http_request, arrived):
         """Admit and serve a request, or refuse it; return the response."""
@@ -139,7 +139,7 @@
     def record_end(self, call, result, detail):
         """Count and log the end of a request that was sent."""
         seconds = round(self.loop.time() - call.arrived, 4)
-        self.gateway.metrics.ended(call.service, result, seconds)
+        self.gateway.metrics.count_request(call.service, result, seconds)
         log_event(logger, RequestEnded(call.head.request_id, result, detail, seconds))
 
     def set_retry_after(self, error, seconds_left):
@@ -159,8 +159,8 @@
             seconds=round(self.loop.time() - arrived, 4),
         )
         log_event(logger, event)
-        self.gateway.metrics.refused(error.code)
-        self.gateway.metrics.ended("", REFUSED, event.seconds)
+        self.gateway.metrics.count_refusal(error.code)
+        self.gateway.metrics.count_request("", REFUSED, event.seconds)
         headers = self.gateway.adapter.refusal_headers(request_id, error.retry_after)
         response = web.Response(status=error.status, text=str(error), headers=headers)
         if error.closes_connection or isinstance(error, BadRequest):
