--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/conf.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/conf.py
@@ -44,7 +44,9 @@
         1.0, help="Factor on the request rate allowed to a cold endpoint.", minimum=0.1
     )
     cold_slack: float = setting(
-        0.0, help="Requests a second allowed to it beyond that.", minimum=0.0
+        0.0,
+        help="Requests a second allowed to a cold endpoint beyond that.",
+        minimum=0.0,
     )
     link_megabits: float = setting(
         1000.0, help="Bandwidth of this machine's link.", minimum=0.1, unit="Mbit/s"
--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/attempts.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/request/attempts.py
@@ -33,13 +33,13 @@
     """Send one call to one endpoint after another."""
 
     __slots__ = (
+        "attempt_count",
         "call",
         "gateway",
         "loop",
         "may_have_arrived",
         "possible_run",
         "reservation",
-        "sent",
         "tried",
     )
 
@@ -47,8 +47,8 @@
         self.call = call
         self.gateway = gateway
         self.loop = asyncio.get_running_loop()
-        # Attempts that reached the endpoint that was meant, or may have.
-        self.sent = 0
+        # Attempts that reached the endpoint that was meant, or may have reached it.
+        self.attempt_count = 0
         # Whether any endpoint may have received the request, also a wrong one.
         self.may_have_arrived = False
         # Result of the last attempt that may have run.
@@ -184,19 +184,19 @@
                 if answer is None or answer.head.status == MISDIRECTED_STATUS:
                     history.failed(self.loop.time())
                 else:
-                    self.sent += 1
+                    self.attempt_count += 1
                     self.refusals.refused(endpoint.name, self.loop.time())
                 self.gateway.metrics.count_attempt("not-run")
                 self.log_failure(endpoint, "not run", reason)
             case Lost(reason):
                 self.may_have_arrived = True
-                self.sent += 1
+                self.attempt_count += 1
                 history.failed(self.loop.time())
                 self.gateway.metrics.count_attempt("lost")
                 self.log_failure(endpoint, "lost", reason)
             case _:
                 self.may_have_arrived = True
-                self.sent += 1
+                self.attempt_count += 1
                 self.gateway.metrics.count_attempt("opened")
                 history.succeeded()
                 self.refusals.answered()
@@ -213,7 +213,7 @@
         stops before the deadline.
         """
         call = self.call
-        if self.sent >= call.route.maximum_attempts:
+        if self.attempt_count >= call.route.maximum_attempts:
             return False
         now = self.loop.time()
         if call.deadline - now - ANSWER_TRANSIT_SECONDS < MINIMUM_SECONDS_LEFT:
