--- a/packages/fescuedrum-agent/src/fescuedrum_agent/connection/relay.py
+++ b/packages/fescuedrum-agent/src/fescuedrum_agent/connection/relay.py
@@ -44,7 +44,7 @@
         # Until this time what comes is held, so that it leaves together.
         self.free_at = 0.0
 
-    def grant(self, window):
+    def add_credit(self, window):
         self.credit += window
         self.credited.set()
 
--- a/packages/fescuedrum-agent/src/fescuedrum_agent/connection/session.py
+++ b/packages/fescuedrum-agent/src/fescuedrum_agent/connection/session.py
@@ -30,9 +30,9 @@
     __slots__ = (
         "agent",
         "beat_interval",
-        "beats",
         "connection",
         "heard_at",
+        "heartbeats_received",
         "loop",
         "next_beat",
         "numbers",
@@ -53,7 +53,7 @@
         self.beat_interval = 0.0
         self.next_beat = 0.0
         # Heartbeats received.
-        self.beats = 0
+        self.heartbeats_received = 0
         # Requests seen on this connection; the entry corrects late reports by it.
         self.received = 0
         self.relays = {}
@@ -100,7 +100,7 @@
                 self.handle_request(body)
             case frames.Credit():
                 if relay := self.relays.get(body.number):
-                    relay.grant(body.window)
+                    relay.add_credit(body.window)
             case frames.Cancel():
                 self.agent.cancel(self, body.number)
             case frames.Fence():
--- a/packages/fescuedrum-agent/src/fescuedrum_agent/process/agent.py
+++ b/packages/fescuedrum-agent/src/fescuedrum_agent/process/agent.py
@@ -109,7 +109,7 @@
         operations = Operations(self)
         await operations.start()
         log_event(logger, AgentStarted(__version__))
-        beat = asyncio.create_task(self.beat())
+        beat = asyncio.create_task(self.run_periodic_tasks())
         stop_on_failure([beat, reload], stop)
         lag = asyncio.create_task(measure_loop_delay(self.metrics.loop_delay))
         await stop.wait()
@@ -178,7 +178,7 @@
             return True
         return self.keyed.has_unacknowledged(asyncio.get_running_loop().time())
 
-    async def beat(self):
+    async def run_periodic_tasks(self):
         while True:
             now = asyncio.get_running_loop().time()
             self.gate.sweep(now)
@@ -249,7 +249,7 @@
 
     def heard(self, session, heartbeat):
         """Pull the document from an entry that runs a newer version."""
-        session.beats += 1
+        session.heartbeats_received += 1
         session.beat_interval = (heartbeat.wanted_interval_ms or 0) / 1000
         announced, in_force = heartbeat.version or 0, self.configuration.version
         now = asyncio.get_running_loop().time()
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/capacity/links.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/capacity/links.py
@@ -57,7 +57,7 @@
         server = await asyncio.start_server(agent.serve_connection, host, port)
         self.agents.append(agent)
         self.servers.append(server)
-        self.tasks.append(asyncio.create_task(agent.beat()))
+        self.tasks.append(asyncio.create_task(agent.run_periodic_tasks()))
         instance = Instance(settings.name, "agent", settings.zone, host, port)
         await self.site.list_instance(instance)
 
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/control.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/control.py
@@ -78,4 +78,4 @@
     """Count bytes and heartbeats that all agents have received."""
     sessions = [session for agent in host.agents for session in agent.sessions]
     received = sum(session.connection.received_bytes for session in sessions)
-    return received, sum(session.beats for session in sessions)
+    return received, sum(session.heartbeats_received for session in sessions)
--- a/tests/unit/test_connection.py
+++ b/tests/unit/test_connection.py
@@ -118,7 +118,7 @@
             match codec.get_body(await far.receive()):
                 case frames.Chunk(number=2, data=data):
                     received[2] += len(data)
-                    relays[2].grant(len(data))
+                    relays[2].add_credit(len(data))
                 case frames.Chunk(data=data):
                     received[1] += len(data)
                 case frames.End(number=2):
