--- a/packages/fescuedrum-agent/src/fescuedrum_agent/__init__.py
+++ b/packages/fescuedrum-agent/src/fescuedrum_agent/__init__.py
@@ -1,1 +1,1 @@
-"""Run beside an endpoint as the last gate before it."""
+"""The agent: runs beside an endpoint and admits the requests sent to it."""
--- a/packages/fescuedrum-agent/src/fescuedrum_agent/conf.py
+++ b/packages/fescuedrum-agent/src/fescuedrum_agent/conf.py
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class AgentSettings:
-    """Hold the settings of one agent process."""
+    """Hold the settings of an agent process."""
 
     name: str = setting(help="Name of this instance, unique in the fleet.")
     zone: str = setting(help="Availability zone of this instance.")
@@ -28,8 +28,8 @@
     )
     pace_seconds: float = setting(
         0.01,
-        help="Time in which no more requests start at a model engine than it carries "
-        "cold, as it may turn cold without warning; 0 turns this off.",
+        help="Time within which no more requests start at a model engine than it can "
+        "carry cold, as it may turn cold without warning; 0 turns this off.",
         minimum=0.0,
         unit="s",
     )
@@ -37,26 +37,27 @@
         256, help="Requests that may wait for the endpoint.", minimum=0
     )
     queue_policy: QueuePolicy = setting(
-        QueuePolicy.FAIR, help="fair; fifo only to compare with."
+        QueuePolicy.FAIR, help="Order of the queue: fair; fifo is for comparison only."
     )
     admission: bool = setting(
-        True, help="Refuse at once what can't be in time; false only to compare with."
+        True,
+        help="Refuse at once what can't be in time; false is for comparison.",
     )
     heartbeat_seconds: float = setting(
         0.5, help="Time between heartbeats.", minimum=0.05, unit="s"
     )
     drain_seconds: float = setting(
         60.0,
-        help="Longest wait at a stop for running requests and for entries to take "
+        help="Longest wait at a stop for running requests and for entries to receive "
         "their answers.",
         minimum=0.0,
         unit="s",
     )
     ledger_bytes: int = setting(
-        64 * 1024 * 1024, help="Memory for kept answers.", minimum=1024, unit="B"
+        64 * 1024 * 1024, help="Memory for stored answers.", minimum=1024, unit="B"
     )
     ledger_keys: int = setting(
-        100_000, help="Keys that the agent remembers at most.", minimum=1
+        100_000, help="Largest number of keys that the agent keeps.", minimum=1
     )
     session_silence_seconds: float = setting(
         10.0,
@@ -68,7 +69,7 @@
         "", help="Protocol step at which the process kills itself; for tests only."
     )
     peer_keys: list[PeerKey] = setting(
-        list, help="Keys that entries and agents prove; the first is used to prove."
+        list, help="Keys with which peers authenticate; this agent uses the first."
     )
     peer_tls: TlsFiles | None = setting(
         None, help="Certificate, key and authority for entry-agent connections."
@@ -77,12 +78,12 @@
         0, help="Port for /healthz, /readyz and /metrics; 0 for none.", minimum=0
     )
     log_lines_per_second: float = setting(
-        200.0, help="Most lines logged, on average.", minimum=1.0
+        200.0, help="Average number of lines logged at most.", minimum=1.0
     )
     log_level: str = setting("INFO", help="Lowest level that is logged.")
 
     def check(self):
-        """Return the findings across fields."""
+        """Return the findings of checks that concern several fields or formats."""
         return [
             *rules.check_address("$.host", self.host),
             *rules.check_url("$.endpoint_url", self.endpoint_url),
--- a/packages/fescuedrum-agent/src/fescuedrum_agent/connection/__init__.py
+++ b/packages/fescuedrum-agent/src/fescuedrum_agent/connection/__init__.py
@@ -1,1 +1,1 @@
-"""Hold what lives as long as one connection."""
+"""Objects that live as long as one connection."""
--- a/packages/fescuedrum-agent/src/fescuedrum_agent/connection/relay.py
+++ b/packages/fescuedrum-agent/src/fescuedrum_agent/connection/relay.py
@@ -1,18 +1,19 @@
-"""Send an answer to one entry as fast as that entry's caller takes it."""
+"""Send an answer to one entry as fast as that entry's caller reads it."""
 
 import asyncio
 
 CHUNK_BYTES = 64 * 1024
-# Tokens of one stream that follow each other more quickly than this leave together:
-# each frame and each write to the caller costs the entry the same whatever is in it.
-# A reader can't tell 5 ms, and tokens at the usual 30 ms are never held.
+# Tokens of one stream that arrive within this time of each other share a frame: each
+# frame and each write to the caller costs the entry the same whatever its size.
+# Readers don't notice 5 ms, and tokens at the usual 30 ms are never held.
 MERGE_SECONDS = 0.005
-# What gathers no further: a body in bulk must not be slowed to a chunk each 5 ms.
+# Unsent bytes from which a chunk is sent without a wait: a bulk body must not be slowed
+# to one chunk each 5 ms.
 MERGE_BYTES = 4 * 1024
 
 
 class Relay:
-    """Follow an answer and send its bytes within the credit given for this request.
+    """Send the bytes of an answer, as they come, within the credit of its request.
 
     Each request has its own credit, so that a slow caller holds up only its own
     answer and not the others on the connection.
@@ -22,8 +23,8 @@
         "answer",
         "attempt",
         "credit",
-        "credited",
-        "free_at",
+        "credit_added",
+        "hold_until",
         "loop",
         "number",
         "offset",
@@ -35,26 +36,29 @@
         self.number = request.number
         self.attempt = request.attempt
         self.credit = request.window
-        self.credited = asyncio.Event()
+        self.credit_added = asyncio.Event()
         self.answer = answer
-        # An entry that lost its connection midway asks for the rest only.
+        # An entry that lost its connection midway requests only the rest.
         self.offset = request.resume_offset or 0
         answer.attach(self)
         self.loop = asyncio.get_running_loop()
-        # Until this time what comes is held, so that it leaves together.
-        self.free_at = 0.0
+        # Bytes that arrive before this time are held, to be sent in one chunk.
+        self.hold_until = 0.0
 
     def add_credit(self, window):
+        """Allow the relay to send so many bytes more."""
         self.credit += window
-        self.credited.set()
+        self.credit_added.set()
 
     async def run(self):
+        """Send the answer to its end and detach from it."""
         try:
-            await self.send_all()
+            await self.send_answer()
         finally:
             self.answer.detach(self)
 
-    async def send_all(self):
+    async def send_answer(self):
+        """Send the head, the chunks and the end of the answer as they come."""
         answer = self.answer
         while answer.status is None and not answer.done:
             await answer.changed.wait()
@@ -81,12 +85,13 @@
         )
 
     async def send_available(self):
+        """Send the bytes that the answer has so far, as credit allows."""
         while self.offset < self.answer.end:
             while self.credit <= 0:
-                self.credited.clear()
-                await self.credited.wait()
-            await self.gather()
-            # Credit bounds one request; this bounds the sum of all on the connection.
+                self.credit_added.clear()
+                await self.credit_added.wait()
+            await self.wait_to_merge()
+            # Credit bounds one request; this bounds all requests of the connection.
             await self.session.connection.wait_until_writable()
             size = min(self.credit, CHUNK_BYTES)
             data = self.answer.read(self.offset, size)
@@ -94,14 +99,15 @@
             self.offset += len(data)
             self.credit -= len(data)
             self.answer.advance()
-            self.free_at = self.loop.time() + MERGE_SECONDS
+            self.hold_until = self.loop.time() + MERGE_SECONDS
 
-    async def gather(self):
-        """Wait for more of a stream if the last chunk left a moment ago."""
-        wait = self.free_at - self.loop.time()
+    async def wait_to_merge(self):
+        """Wait for more of a stream if the last chunk was sent a moment ago."""
+        wait = self.hold_until - self.loop.time()
         waiting = self.answer.end - self.offset
         if wait > 0 and waiting < MERGE_BYTES and not self.answer.done:
             await asyncio.sleep(wait)
 
     def send(self, kind, **fields):
+        """Send a frame of this request on the entry's connection."""
         self.session.send(kind, self.number, self.attempt, **fields)
--- a/packages/fescuedrum-agent/src/fescuedrum_agent/connection/session.py
+++ b/packages/fescuedrum-agent/src/fescuedrum_agent/connection/session.py
@@ -1,4 +1,4 @@
-"""Serve one entry's connection."""
+"""Serve the connection of one entry."""
 
 import asyncio
 import logging
@@ -15,7 +15,7 @@
 
 logger = logging.getLogger(__name__)
 
-BODIES = {
+BODY_TYPES = {
     "head": frames.ResponseHead,
     "chunk": frames.Chunk,
     "end": frames.End,
@@ -25,20 +25,20 @@
 
 
 class Session:
-    """Own one connection: read its frames, run its requests, send their answers."""
+    """Read the frames of one connection, run its requests and send their answers."""
 
     __slots__ = (
         "agent",
-        "beat_interval",
         "connection",
-        "heard_at",
+        "duplicate_filter",
+        "heartbeat_interval",
         "heartbeats_received",
+        "last_heard_at",
         "loop",
-        "next_beat",
-        "numbers",
+        "next_heartbeat_at",
         "peer",
-        "received",
         "relays",
+        "requests_received",
         "tasks",
     )
 
@@ -46,55 +46,58 @@
         self.agent = agent
         self.connection = FrameConnection(reader, writer)
         self.loop = asyncio.get_running_loop()
-        self.heard_at = self.loop.time()
-        self.numbers = DuplicateFilter()
+        self.last_heard_at = self.loop.time()
+        self.duplicate_filter = DuplicateFilter()
         self.peer = None
-        # How often the entry wants heartbeats, and when the next is due.
-        self.beat_interval = 0.0
-        self.next_beat = 0.0
-        # Heartbeats received.
+        # Seconds between the heartbeats that the entry wants; when the next is due.
+        self.heartbeat_interval = 0.0
+        self.next_heartbeat_at = 0.0
         self.heartbeats_received = 0
-        # Requests seen on this connection; the entry corrects late reports by it.
-        self.received = 0
+        # Requests that came on this connection. Heartbeats report it, so that the
+        # entry can correct load reports that don't count its latest requests.
+        self.requests_received = 0
         self.relays = {}
         self.tasks = set()
 
     async def run(self):
+        """Handle frames until the connection ends, then cancel its tasks."""
         try:
-            side = self.agent.peers.accept_handshake()
-            self.peer = (await self.connection.handshake(side)).instance
-            self.agent.greet(self)
+            handshake = self.agent.peers.accept_handshake()
+            self.peer = (await self.connection.handshake(handshake)).instance
+            self.agent.add_session(self)
             while (frame := await self.connection.receive()) is not None:
-                if self.silent_for_long():
+                if self.was_silent_too_long():
                     break
                 self.handle(codec.get_body(frame))
         finally:
             for task in self.tasks:
                 task.cancel()
-            self.agent.abandon(self)
+            self.agent.cancel_idempotent(self)
             self.connection.close()
 
     @property
-    def busy(self):
-        """Tell whether the entry has still to be sent an answer, or the end of one."""
+    def is_busy(self):
+        """Return whether answers, or parts of them, are still to be sent."""
         return bool(self.tasks or self.connection.unsent_bytes)
 
-    def silent_for_long(self):
-        """Note that something came; tell whether it came after too long a silence."""
+    def was_silent_too_long(self):
+        """Record that a frame came; return whether the silence before was too long."""
         now = self.loop.time()
-        silence = now - self.heard_at
-        self.heard_at = now
-        # The same bound as in the agent's beat, for frames that come before it looks.
+        silence = now - self.last_heard_at
+        self.last_heard_at = now
+        # The agent checks the same bound periodically; a frame may come in between.
         return silence > self.agent.allowed_silence(self)
 
     def send(self, kind, number, attempt, **fields):
-        self.agent.metrics.told(kind, fields)
-        body = BODIES[kind](number=number, attempt=attempt, **fields)
+        """Count and send a frame that concerns one request."""
+        self.agent.metrics.count_frame(kind, fields)
+        body = BODY_TYPES[kind](number=number, attempt=attempt, **fields)
         self.connection.send(**{kind: body})
         if kind == "head":
             self.agent.faults.crash_if_set(ProtocolStep.AGENT_HEAD)
 
     def handle(self, body):
+        """Act on the body of a frame that the entry sent."""
         match body:
             case frames.Request():
                 self.handle_request(body)
@@ -108,7 +111,7 @@
             case frames.Recorded():
                 self.agent.keyed.mark_recorded(body, self.loop.time())
             case members.Heartbeat():
-                self.agent.heard(self, body)
+                self.agent.on_heartbeat(self, body)
             case members.DocumentBody():
                 self.agent.configuration.update_from_frame(body)
             case members.Pull():
@@ -116,13 +119,15 @@
                     self.connection.send(document=document)
 
     async def answer_fence(self, fence):
-        verdict = await self.agent.keyed.fence(fence)
-        self.send("fence_reply", fence.number, fence.attempt, verdict=verdict.value)
+        """Fence a keyed request and send the result to the entry."""
+        result = await self.agent.keyed.fence(fence)
+        self.send("fence_reply", fence.number, fence.attempt, verdict=result.value)
 
     def handle_request(self, request):
-        if not self.numbers.accept(request.number):
+        """Submit a request and relay its answer, or send why it is refused."""
+        if not self.duplicate_filter.accept(request.number):
             return
-        self.received += 1
+        self.requests_received += 1
         answer, refused = self.agent.submit(self, request)
         if answer is None:
             self.send("refusal", request.number, request.attempt, **refused.fields())
@@ -133,13 +138,14 @@
         task.add_done_callback(lambda _: self.relays.pop(request.number, None))
 
     def spawn(self, coroutine):
-        """Run a task that ends with this connection at the latest."""
+        """Start a task that is cancelled when this connection ends."""
         task = asyncio.create_task(coroutine)
         self.tasks.add(task)
-        task.add_done_callback(self.forget)
+        task.add_done_callback(self.on_task_done)
         return task
 
-    def forget(self, task):
+    def on_task_done(self, task):
+        """Drop a task that ended and log its error, if it had one."""
         self.tasks.discard(task)
         if not task.cancelled() and task.exception():
             log_event(logger, SessionTaskFailed(), error=task.exception())
--- a/packages/fescuedrum-agent/src/fescuedrum_agent/management.py
+++ b/packages/fescuedrum-agent/src/fescuedrum_agent/management.py
@@ -1,4 +1,4 @@
-"""Start the agent from the command line."""
+"""Start an agent from the command line."""
 
 import argparse
 import sys
@@ -26,6 +26,7 @@
 
 
 def build_parser():
+    """Return the parser of the command line."""
     from fescuedrum.process import add_settings_arguments
 
     parser = argparse.ArgumentParser(
@@ -42,7 +43,7 @@
 def main(argv=None):
     """Run the command and return its exit code."""
     defer_reload()
-    # These load the libraries, which takes longer than all before.
+    # Imported after the reload signal is deferred, as loading takes long.
     from fescuedrum.process import run_process
     from fescuedrum_agent.conf import AgentSettings
     from fescuedrum_agent.process.agent import Agent
--- a/packages/fescuedrum-agent/src/fescuedrum_agent/process/gate.py
+++ b/packages/fescuedrum-agent/src/fescuedrum_agent/process/gate.py
@@ -1,8 +1,10 @@
-"""Admit no more work than the endpoint can carry, and share it fairly.
+"""Limit the requests that run at the endpoint and share its capacity fairly.
 
-The gate stands here and not only at the entries: each entry's view is late, and only
-here do the requests of all entries meet. What can't run now waits in a bounded queue
-that serves organisations by weight; what can't be in time is refused at once.
+Load pattern: several entries send requests to one endpoint at the same moment. Each
+entry's view of the load is late, and only the agent receives the requests of all
+entries; with limits at the entries alone, their sum overloads the endpoint. Requests
+that can't run yet wait in a bounded queue that serves organisations by weight; requests
+that can't meet their deadlines are refused at once.
 """
 
 from collections import deque
@@ -11,15 +13,17 @@
 from fescuedrum.decisions.admission import Admission, RefusalReason, Refused
 from fescuedrum.decisions.limits import EndpointLimit, Phase
 
-# A leaving endpoint or a zone that is out: others can take the request at once.
-ELSEWHERE_SECONDS = 0.0
-# An endpoint ends work whose caller left within this time: at its next step or read.
-ENDING_SECONDS = 1.0
+# Retry delay when the agent is leaving or its zone is out: other endpoints can take the
+# request at once.
+CLOSED_RETRY_SECONDS = 0.0
+# Time within which an endpoint ends work whose caller left: it does so at its next step
+# or read.
+ABANDONED_SLOT_SECONDS = 1.0
 
 
 @dataclass(slots=True, frozen=True)
 class Answered:
-    """Say that the endpoint answered, after how long, at which true cost."""
+    """Result of a request that was answered, with its run time, true cost and size."""
 
     seconds: float
     cost: float
@@ -28,35 +32,35 @@
 
 @dataclass(slots=True, frozen=True)
 class Failed:
-    """Say that the endpoint failed; unavailable when it refused or cut."""
+    """Result of a failed request; unavailable if the endpoint refused or cut it."""
 
     unavailable: bool
 
 
 @dataclass(slots=True, frozen=True)
 class Abandoned:
-    """Say that the caller left or the deadline passed: no word on the endpoint."""
+    """Result without information on the endpoint: cancelled, timed out or rejected."""
 
 
 class Gate:
-    """Own the endpoint's places and the queue before them.
+    """Hold the slots of the endpoint and the queue of requests that wait for one.
 
-    The payload of each work has two methods, of which one is called once:
-    start(cold=...) when it may run, refuse(Refused) when it waited and is given up.
+    The payload of each work has two methods, of which exactly one is called, once:
+    start(cold=...) when it may run, refuse(Refused) when it waited and is refused.
     """
 
     __slots__ = (
         "admission",
         "admit_all",
         "answers",
-        "ending",
+        "held_until",
         "leaving",
         "limit",
-        "pace",
         "queue",
         "queue_limit",
         "running",
-        "wake_after",
+        "schedule_admission",
+        "start_limiter",
         "zone_out",
     )
 
@@ -65,20 +69,20 @@
         self.queue = queue
         self.admission = admission
         self.queue_limit = queue_limit
-        self.pace = None
-        # Must call admit_waiting after so many seconds.
-        self.wake_after = None
-        # Baseline for experiments: queue without a prediction.
+        self.start_limiter = None
+        # Callback that must call admit_waiting after the given number of seconds.
+        self.schedule_admission = None
+        # Baseline for experiments: queue without predicting whether deadlines are met.
         self.admit_all = False
         self.running = 0
-        # Times at which the endpoint is done with work whose callers left.
-        self.ending = deque()
+        # Times until which the slots of abandoned requests count as taken, in order.
+        self.held_until = deque()
         self.answers = 0
         self.leaving = False
         self.zone_out = False
 
-    def closed(self):
-        """Return why no new work may start here at all, or None."""
+    def closed_reason(self):
+        """Return why the gate admits no new work at all, or None if it does."""
         if self.leaving:
             return RefusalReason.LEAVING
         if self.zone_out:
@@ -86,20 +90,20 @@
         return None
 
     def close(self, *, leaving=None, zone_out=None):
-        """Set why the gate is closed; what waits is refused at once, not run."""
+        """Set whether the gate is closed; if it is, refuse all waiting requests."""
         self.leaving = self.leaving if leaving is None else leaving
         self.zone_out = self.zone_out if zone_out is None else zone_out
-        if reason := self.closed():
+        if reason := self.closed_reason():
             for work in self.queue.waiting_requests():
-                self.give_up(work, Refused(reason, ELSEWHERE_SECONDS))
+                self.refuse_waiting(work, Refused(reason, CLOSED_RETRY_SECONDS))
 
     def offer(self, work, now):
         """Start or queue a request and return None, or return why it is refused."""
-        if reason := self.closed():
-            return Refused(reason, ELSEWHERE_SECONDS)
-        if self.may_start(now) and not self.queue.length:
-            # With nothing running there is nothing to wait for, and the prediction
-            # may stem from a cold start; refusing would let it never be corrected.
+        if reason := self.closed_reason():
+            return Refused(reason, CLOSED_RETRY_SECONDS)
+        if self.can_start(now) and not self.queue.length:
+            # With nothing running there is nothing to wait for. The prediction may come
+            # from a cold start, and it can't be corrected if all requests are refused.
             if self.running and (refused := self.check_deadline(work, 0.0, now)):
                 return refused
             self.queue.charge_unqueued(work)
@@ -111,67 +115,79 @@
         self.admit_waiting(now)
         return refused
 
-    def set_pace(self, pace):
-        """Follow a change of the pace; None turns it off."""
-        same = self.pace and pace and self.pace.count == pace.count
-        # A new one would forget what started a moment ago.
+    def set_start_limiter(self, start_limiter):
+        """Set the limiter of starts; None turns it off."""
+        same = (
+            self.start_limiter
+            and start_limiter
+            and self.start_limiter.count == start_limiter.count
+        )
+        # A new limiter would not count the requests that have just started.
         if not same:
-            self.pace = pace
+            self.start_limiter = start_limiter
 
-    def may_start(self, now):
-        return self.has_place(now) and not self.pause(now)
+    def can_start(self, now):
+        """Return whether a request may start now."""
+        return self.has_free_slot(now) and not self.start_delay(now)
 
-    def has_place(self, now):
-        """Tell whether a place is free at the endpoint itself.
+    def has_free_slot(self, now):
+        """Return whether the endpoint has a free slot.
 
-        A cold endpoint goes on with abandoned work until its next step. A request that
-        took the place at once would be one more than it carries, and it would fall
-        over; so for ENDING_SECONDS the place of abandoned work counts as taken.
+        A cold endpoint works on abandoned requests until its next step. If another
+        request took the slot at once, the endpoint would run more than it can carry and
+        fail; so the slot counts as taken for ABANDONED_SLOT_SECONDS.
         """
-        while self.ending and self.ending[0] <= now:
-            self.ending.popleft()
-        return self.running + len(self.ending) < self.limit.limit
+        while self.held_until and self.held_until[0] <= now:
+            self.held_until.popleft()
+        return self.running + len(self.held_until) < self.limit.limit
 
-    def pause(self, now):
-        return self.pace.wait(now) if self.pace else 0.0
+    def start_delay(self, now):
+        """Return the seconds until the start limiter allows a start."""
+        return self.start_limiter.wait(now) if self.start_limiter else 0.0
 
     def check_deadline(self, work, cost_ahead, now):
+        """Return why a new request is refused, or None if it is expected in time."""
         if self.admit_all:
             return None
         return self.admission.check_deadline(work, cost_ahead, self.limit.limit, now)
 
     def check_waiting_deadline(self, work, now):
+        """Return why a waiting request is refused, or None if it can be in time."""
         return (
             None if self.admit_all else self.admission.check_waiting_deadline(work, now)
         )
 
     def enqueue(self, work):
+        """Queue a request; return why it is refused if the full queue sheds it."""
         self.queue.push(work)
         if self.queue.length <= self.queue_limit:
             return None
-        # Refusing the newcomer would let whoever fills the queue shut out all others.
+        # If the newest request were always refused, one organisation that fills the
+        # queue would shut out all others.
         victim = self.queue.next_to_shed()
         seconds = self.admission.wait(self.queue.backlog, self.limit.limit)
         refused = self.admission.refuse(RefusalReason.SHED, seconds)
         if victim is work:
             self.queue.remove(work)
             return refused
-        self.give_up(victim, refused)
+        self.refuse_waiting(victim, refused)
         return None
 
-    def give_up(self, work, refused):
+    def refuse_waiting(self, work, refused):
+        """Remove a waiting request from the queue and refuse it."""
         self.queue.remove(work)
         work.payload.refuse(refused)
 
     def start(self, work, now):
+        """Start a request in a free slot."""
         self.limit.starting(self.running, now)
         self.running += 1
-        if self.pace:
-            self.pace.started(now)
+        if self.start_limiter:
+            self.start_limiter.started(now)
         work.payload.start(cold=self.limit.phase is Phase.COLD)
 
     def finish(self, work, result, now):
-        """Take back the place of a request that ran."""
+        """Free the slot of a request that ran and learn from its result."""
         self.running -= 1
         match result:
             case Answered(seconds, cost, size):
@@ -182,41 +198,43 @@
             case Failed(unavailable):
                 self.limit.failed(now, unavailable=unavailable)
             case Abandoned() if self.limit.phase is Phase.COLD:
-                self.hold_place(now)
+                self.hold_slot(now)
         self.admit_waiting(now)
 
-    def hold_place(self, now):
-        self.ending.append(now + ENDING_SECONDS)
-        if self.wake_after:
-            self.wake_after(ENDING_SECONDS)
+    def hold_slot(self, now):
+        """Count the slot of an abandoned request as taken for a while."""
+        self.held_until.append(now + ABANDONED_SLOT_SECONDS)
+        if self.schedule_admission:
+            self.schedule_admission(ABANDONED_SLOT_SECONDS)
 
     def admit_waiting(self, now):
-        """Start waiting requests while there are places."""
-        while self.queue.length and self.has_place(now):
-            if pause := self.pause(now):
-                self.wake_after(pause)
+        """Start waiting requests while slots are free and the start limiter allows."""
+        while self.queue.length and self.has_free_slot(now):
+            if delay := self.start_delay(now):
+                self.schedule_admission(delay)
                 return
             work = self.queue.pop()
             if refused := self.check_waiting_deadline(work, now):
-                # Started now it would end too late and take a place from another.
+                # It would end too late and use a slot that another could have.
                 self.queue.correct(work, 0.0)
                 work.payload.refuse(refused)
                 continue
             self.start(work, now)
 
     def withdraw(self, work):
-        """Take out a waiting request whose caller left; True if it waited."""
+        """Remove a request whose caller left; return whether it was waiting."""
         if not work.waiting:
             return False
         self.queue.remove(work)
         return True
 
     def sweep(self, now):
-        """Refuse what waits and can't be in time any more, at once."""
+        """Refuse the waiting requests that can't be in time any more."""
         for work in self.queue.waiting_requests():
             if refused := self.check_waiting_deadline(work, now):
-                self.give_up(work, refused)
+                self.refuse_waiting(work, refused)
 
     @property
     def warm(self):
+        """Return whether the endpoint is known to be warm."""
         return self.limit.warm
--- a/packages/fescuedrum-agent/src/fescuedrum_agent/process/metrics.py
+++ b/packages/fescuedrum-agent/src/fescuedrum_agent/process/metrics.py
@@ -1,4 +1,4 @@
-"""Declare the agent's metrics and count what it tells entries."""
+"""Declare the agent's metrics and count requests and frames."""
 
 from fescuedrum.metrics import (
     LOOP_DELAY_BUCKETS,
@@ -12,7 +12,7 @@
 
 
 class AgentMetrics:
-    """Own the agent's metrics."""
+    """Hold the agent's metrics."""
 
     __slots__ = ("answers", "catalogue", "loop_delay", "refusals", "seconds", "waits")
 
@@ -20,7 +20,7 @@
         catalogue = self.catalogue = MetricCatalogue()
         self.answers = catalogue.counter(
             "fescuedrum_agent_answers_total",
-            "Answers told to entries, repeats of a key included.",
+            "Answers sent to entries, repeats of a key included.",
             OUTCOME,
         )
         self.refusals = catalogue.counter(
@@ -35,7 +35,7 @@
         )
         self.waits = catalogue.histogram(
             "fescuedrum_agent_queue_seconds",
-            "Time that requests which ran had waited here for their place.",
+            "Time that requests waited here before they started at the endpoint.",
         )
         self.loop_delay = catalogue.histogram(
             "fescuedrum_loop_delay_seconds",
@@ -44,7 +44,7 @@
         )
 
     def watch(self, agent):
-        """Declare the gauges that are read from the agent's parts."""
+        """Declare the gauges whose values are read from the agent."""
         callback_gauge = self.catalogue.callback_gauge
         callback_gauge(
             "fescuedrum_agent_running",
@@ -53,7 +53,7 @@
         )
         callback_gauge(
             "fescuedrum_agent_queued",
-            "Requests that wait here for a place at the endpoint.",
+            "Requests that wait here to start at the endpoint.",
             lambda: agent.gate.queue.length,
         )
         callback_gauge(
@@ -68,7 +68,7 @@
         )
         callback_gauge(
             "fescuedrum_agent_sessions",
-            "Entries that are connected and proved.",
+            "Entries that are connected and authenticated.",
             lambda: len(agent.sessions),
         )
         callback_gauge(
@@ -78,7 +78,7 @@
         )
         callback_gauge(
             "fescuedrum_unsent_bytes",
-            "Bytes that entries have not taken yet.",
+            "Bytes that entries have not read yet.",
             lambda: sum(session.connection.unsent_bytes for session in agent.sessions),
         )
         callback_gauge(
@@ -92,14 +92,14 @@
             lambda: agent.gate.leaving,
         )
 
-    def ran(self, ticket, now):
-        """Count a request that the endpoint ran to its end."""
+    def count_run(self, ticket, now):
+        """Record the outcome, run time and waiting time of a request that ran."""
         outcome = ticket.answer.outcome or Outcome.UNKNOWN
         self.seconds.labels(outcome.value).observe(now - ticket.started_at)
         self.waits.observe(ticket.started_at - ticket.work.arrived)
 
-    def told(self, kind, fields):
-        """Count a frame that is sent to an entry."""
+    def count_frame(self, kind, fields):
+        """Count a refusal or the end of an answer that is sent to an entry."""
         if kind == "refusal":
             self.refusals.labels(fields["reason"]).inc()
         elif kind == "end":
--- a/packages/fescuedrum-agent/src/fescuedrum_agent/process/operations.py
+++ b/packages/fescuedrum-agent/src/fescuedrum_agent/process/operations.py
@@ -1,4 +1,4 @@
-"""Answer the platform's health checks and the collector of metrics."""
+"""Serve the platform's health checks and the agent's metrics over HTTP."""
 
 from aiohttp import web
 
@@ -6,7 +6,7 @@
 
 
 class Operations:
-    """Own the small HTTP listener of an agent; port 0 keeps it off."""
+    """Run the HTTP listener for health checks and metrics; port 0 turns it off."""
 
     __slots__ = ("agent", "runner")
 
@@ -15,6 +15,7 @@
         self.runner = web.AppRunner(self.build_application(), access_log=None)
 
     def build_application(self):
+        """Return the application with all routes."""
         application = web.Application()
         application.router.add_get("/healthz", self.healthz)
         application.router.add_get("/readyz", self.readyz)
@@ -31,14 +32,15 @@
         await site.start()
 
     async def stop(self):
+        """Stop listening."""
         await self.runner.cleanup()
 
     async def healthz(self, _):
-        """Tell that the loop runs; a process that can't answer should be replaced."""
+        """Answer that the loop runs; a process that can't answer must be replaced."""
         return web.json_response({"alive": True})
 
     async def readyz(self, _):
-        """Tell whether new work may come; a draining process is alive all the same."""
+        """Answer whether the agent takes new work; when draining, it is only alive."""
         agent = self.agent
         body = {
             "ready": not agent.gate.leaving and agent.configuration.version > 0,
@@ -50,5 +52,6 @@
         return web.json_response(body, status=200 if body["ready"] else UNAVAILABLE)
 
     async def metrics(self, _):
+        """Answer with all metrics in the exposition format."""
         text, content_type = self.agent.metrics.catalogue.expose()
         return web.Response(body=text, headers={"Content-Type": content_type})
--- a/packages/fescuedrum-agent/src/fescuedrum_agent/request/__init__.py
+++ b/packages/fescuedrum-agent/src/fescuedrum_agent/request/__init__.py
@@ -1,1 +1,1 @@
-"""Hold what lives as long as one request."""
+"""Objects that live as long as one request."""
--- a/packages/fescuedrum-agent/src/fescuedrum_agent/request/execution.py
+++ b/packages/fescuedrum-agent/src/fescuedrum_agent/request/execution.py
@@ -1,4 +1,4 @@
-"""Run one request at the endpoint and fill its answer."""
+"""Run one request at the endpoint and fill in its answer."""
 
 import asyncio
 import logging
@@ -15,13 +15,13 @@
 
 logger = logging.getLogger(__name__)
 
-# The request goes on as it came: what the caller did not send is not added.
+# Headers that the HTTP client must not add if the caller did not send them.
 SKIPPED_HEADERS = ("Accept", "Accept-Encoding", "Content-Type", "User-Agent")
 SERVER_ERROR = 500
 
 
 class Execution:
-    """Own one call to the endpoint."""
+    """Send one request to the endpoint and write the response to its answer."""
 
     __slots__ = ("answer", "base_url", "request", "session")
 
@@ -32,20 +32,20 @@
         self.answer = answer
 
     async def run(self):
-        """Call the endpoint; the answer always ends with an outcome."""
+        """Send the request and set an outcome of the answer, also on errors."""
         set_request_context(self.request)
         started = False
         try:
             async with self.call() as response:
                 started = True
-                self.answer.start(response.status, plain_headers(response.headers))
+                self.answer.start(response.status, encode_headers(response.headers))
                 async for data in response.content.iter_any():
                     self.answer.append(data)
-                    await self.answer.room()
-            self.answer.finish(*judge_status(response.status))
+                    await self.answer.wait_for_readers()
+            self.answer.finish(*classify_status(response.status))
         except aiohttp.ClientConnectorError as error:
             self.answer.unavailable = True
-            # No connection was made, so no byte of the request can have left.
+            # No connection was made, so no byte of the request was sent.
             self.answer.finish(Outcome.NOT_RUN, f"connect: {error}")
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
             self.answer.unavailable = not isinstance(error, TimeoutError)
@@ -56,13 +56,14 @@
             raise
 
     def call(self):
+        """Return the context manager of the HTTP request, within its time budget."""
         headers = CIMultiDict(
             (header.name, header.value) for header in self.request.headers or ()
         )
         timeout = aiohttp.ClientTimeout(total=self.request.budget_ms / 1000)
         return self.session.request(
             self.request.method,
-            # Encoded already: `%2F` and `/` may differ to the endpoint.
+            # The path is encoded already; the endpoint may tell `%2F` from `/`.
             URL(self.base_url + self.request.path, encoded=True),
             headers=headers,
             data=self.request.body or None,
@@ -74,18 +75,20 @@
 
 
 def set_request_context(request):
-    """Put the request's names on each log line of the task that runs it."""
+    """Add the request's id and organisation to the log lines of this task."""
     context = {"request": request.request_id, "organisation": request.organisation}
     request_context.set(context)
 
 
-def judge_status(status):
+def classify_status(status):
+    """Return (outcome, reason) for the status of a complete response."""
     if status >= SERVER_ERROR:
         return Outcome.FAILED, f"the endpoint answered {status}"
     return Outcome.ANSWERED, ""
 
 
-def plain_headers(headers):
+def encode_headers(headers):
+    """Return the end-to-end headers as they are sent in frames."""
     return [
         Header(name, replace_invalid_utf8(value))
         for name, value in end_to_end_headers(headers)
--- a/packages/fescuedrum-agent/src/fescuedrum_agent/request/keyed.py
+++ b/packages/fescuedrum-agent/src/fescuedrum_agent/request/keyed.py
@@ -1,4 +1,4 @@
-"""Keep the ledger of this agent's life and the answers it stands for."""
+"""Keep the ledger of this agent's incarnation and the answers of its keys."""
 
 import asyncio
 
@@ -7,19 +7,19 @@
 from fescuedrum.faults import ProtocolStep
 from fescuedrum.outcomes import Outcome
 
-REASONS = {
+REFUSAL_REASONS = {
     Admission.FENCED: RefusalReason.FENCED,
     Admission.OTHER_INCARNATION: RefusalReason.OTHER_INCARNATION,
     Admission.FULL: RefusalReason.LEDGER_FULL,
 }
 ARRIVAL_POLL_SECONDS = 0.01
-MAXIMUM_PATIENCE_SECONDS = 5.0
-# An entry dials three times within this after its connection was lost.
-TAKING_SECONDS = 2.0
+MAXIMUM_FENCE_WAIT_SECONDS = 5.0
+# An entry that lost its connection connects three times within this time.
+RECONNECT_SECONDS = 2.0
 
 
 class KeyedRequests:
-    """Decide by the ledger which keyed requests start here."""
+    """Decide by the ledger which keyed requests start at this agent."""
 
     __slots__ = ("faults", "ledger")
 
@@ -39,9 +39,10 @@
                 return None, None
             case Admission.START:
                 return None, RefusalReason.KEY_UNKNOWN
-        return None, REASONS[admission]
+        return None, REFUSAL_REASONS[admission]
 
     def attach(self, request):
+        """Return (answer, None) of the recorded key, or (None, reason) if dropped."""
         record = self.ledger.records[request.key]
         answer = record.answer
         if answer is None or (request.resume_offset or 0) < answer.base:
@@ -49,49 +50,54 @@
         return answer, None
 
     def start(self, request, answer, now):
+        """Record that a keyed request starts."""
         attempt = request.key_attempt or 1
         self.ledger.start(request.key, attempt, request.token, now, answer)
         self.faults.crash_if_set(ProtocolStep.AGENT_STARTED)
 
     def withdraw(self, request):
-        """Take back what the gate refused; the entry is told, no trace is needed."""
+        """Remove a request that the gate refused; the refusal is sent to its entry."""
         self.ledger.withdraw(request.key)
 
     def finish(self, request, answer, now):
+        """Record the outcome of a keyed request."""
         outcome = answer.outcome or Outcome.UNKNOWN
         self.ledger.finish(request.key, outcome, len(answer.body), now)
         self.faults.crash_if_set(ProtocolStep.AGENT_ENDED)
 
     def mark_recorded(self, body, now):
+        """Record that the entry has stored the outcome of a key."""
         keep = bool(body.keep_answer)
         self.ledger.mark_recorded(body.key, now, keep_answer=keep)
         self.faults.crash_if_set(ProtocolStep.AGENT_RECORDED)
 
     def has_unacknowledged(self, now):
-        """Tell whether an entry may still come for what ran here a moment ago.
+        """Return whether an entry may still request an answer that ended recently.
 
-        The failure: an entry's connection is lost while its booking runs at an agent
-        that stops. The booking ends, and the agent with it, before the entry is back
-        to ask; it ends as unknown. An entry that has an answer says so.
+        An entry acknowledges each answer that it has received. Without this check, an
+        entry that loses its connection while its booking runs at a stopping agent finds
+        the agent gone when it reconnects, and the booking ends as unknown.
         """
-        return self.ledger.has_unacknowledged(now - TAKING_SECONDS)
+        return self.ledger.has_unacknowledged(now - RECONNECT_SECONDS)
 
     def sweep(self, now):
+        """Drop the records of the ledger that have expired."""
         self.ledger.sweep(now)
 
     async def fence(self, fence) -> FenceResult:
-        """Wait a little for a request on its way, then fence what has not come."""
+        """Wait a short time for a request on its way, then fence its key."""
         loop = asyncio.get_running_loop()
-        patience = min((fence.patience_ms or 0) / 1000, MAXIMUM_PATIENCE_SECONDS)
-        end = loop.time() + patience
-        while not self.knows(fence) and loop.time() < end:
+        timeout = min((fence.patience_ms or 0) / 1000, MAXIMUM_FENCE_WAIT_SECONDS)
+        end = loop.time() + timeout
+        while not self.can_fence_at_once(fence) and loop.time() < end:
             await asyncio.sleep(ARRIVAL_POLL_SECONDS)
-        attempt, life = fence.key_attempt or 1, fence.incarnation
-        verdict = self.ledger.fence(fence.key, attempt, life, loop.time())
+        attempt, incarnation = fence.key_attempt or 1, fence.incarnation
+        result = self.ledger.fence(fence.key, attempt, incarnation, loop.time())
         self.faults.crash_if_set(ProtocolStep.AGENT_FENCED)
-        return verdict
+        return result
 
-    def knows(self, fence):
+    def can_fence_at_once(self, fence):
+        """Return whether waiting for the request can't change the fence's result."""
         if fence.incarnation != self.ledger.incarnation:
             return True
         record = self.ledger.records.get(fence.key)
--- a/packages/fescuedrum-agent/src/fescuedrum_agent/request/ticket.py
+++ b/packages/fescuedrum-agent/src/fescuedrum_agent/request/ticket.py
@@ -1,11 +1,11 @@
-"""Carry one request through the gate: waiting, running, or refused unrun."""
+"""Track one request at the gate: waiting, running, or refused without a run."""
 
 import asyncio
 
 from fescuedrum.decisions.queueing import Work, priority_class
 from fescuedrum.outcomes import Outcome
 from fescuedrum_agent.process.gate import Abandoned, Answered, Failed
-from fescuedrum_agent.request.cost import estimated_size, true_cost
+from fescuedrum_agent.request.cost import estimate_size, measure_cost
 
 DEFAULT_PRIORITY = 5
 CLIENT_ERROR = 400
@@ -13,7 +13,7 @@
 
 
 class Ticket:
-    """Own one request from its offer to the gate to its end."""
+    """Hold a request, its answer and its task from the offer to the end."""
 
     __slots__ = (
         "answer",
@@ -39,33 +39,34 @@
             deadline=now + request.budget_ms / 1000,
             arrived=now,
             rank=priority_class(DEFAULT_PRIORITY if priority is None else priority),
-            size=estimated_size(request),
+            size=estimate_size(request),
             payload=self,
         )
 
     def start(self, *, cold):
-        """Run the request; the gate has given it a place."""
+        """Start the request, which the gate has admitted."""
         self.answer.cold = cold
         now = asyncio.get_running_loop().time()
         self.started_at = now
         self.answer.waited_ms = int((now - self.work.arrived) * 1000)
-        # The endpoint gets the time that is left, not the time there was at first.
+        # Waiting used up a part of the request's time budget.
         self.request.budget_ms = max(1, int((self.work.deadline - now) * 1000))
         self.task = asyncio.create_task(self.execution.run())
         self.task.add_done_callback(lambda _: self.on_end(self))
 
     def refuse(self, refused):
-        """End a request that waited; it provably did not run."""
+        """End a waiting request that was refused, as not run."""
         self.answer.retry_after_ms = int(refused.retry_after * 1000)
         self.answer.finish(Outcome.NOT_RUN, refused.reason.value)
         self.on_end(self)
 
     @property
-    def ran(self):
+    def was_started(self):
+        """Return whether the request was sent to the endpoint."""
         return self.started_at is not None
 
     def result(self, now):
-        """Return what the gate learns from the end of a request that ran."""
+        """Return the result of a request that ran, for the gate."""
         answer = self.answer
         if answer.unavailable or answer.status == UNAVAILABLE:
             return Failed(unavailable=True)
@@ -73,5 +74,5 @@
             return Failed(unavailable=False)
         if answer.outcome is not Outcome.ANSWERED or answer.status >= CLIENT_ERROR:
             return Abandoned()
-        cost, size = true_cost(self.request, answer, self.work)
+        cost, size = measure_cost(self.request, answer, self.work)
         return Answered(now - self.started_at, cost, size)
--- a/packages/fescuedrum-agent/src/fescuedrum_agent/version/__init__.py
+++ b/packages/fescuedrum-agent/src/fescuedrum_agent/version/__init__.py
@@ -1,1 +1,1 @@
-"""Hold what lives as long as one configuration version."""
+"""Objects that live as long as one configuration version."""
--- a/tests/unit/test_answer.py
+++ b/tests/unit/test_answer.py
@@ -1,4 +1,4 @@
-"""Check that a long answer to a slow reader does not fill the agent."""
+"""Check that a long answer to a slow reader does not fill the agent's memory."""
 
 import asyncio
 
@@ -13,14 +13,14 @@
 async def fill(answer, size, piece=64 * 1024):
     for _ in range(size // piece):
         answer.append(b"x" * piece)
-        await answer.room()
+        await answer.wait_for_readers()
 
 
 async def test_the_endpoint_waits_for_a_slow_reader_of_a_long_answer():
-    """A caller on a bad line reads a long report slowly.
+    """Guard against an agent whose memory is filled by answers to slow callers.
 
-    The agent took it from the endpoint at full speed and held all of it; a few such
-    callers filled its memory, and every other request at that endpoint died with it.
+    An agent that reads long answers from the endpoint at full speed holds all of their
+    bytes. When its memory is full, all requests at that endpoint fail.
     """
     answer, reader = Answer(), Reader()
     answer.attach(reader)
@@ -35,7 +35,7 @@
     assert answer.end == 20 * KEPT_BYTES
 
 
-async def test_a_reader_that_leaves_sets_the_endpoint_free():
+async def test_the_endpoint_does_not_wait_for_a_reader_that_left():
     answer, reader = Answer(), Reader()
     answer.attach(reader)
     filling = asyncio.create_task(fill(answer, 5 * KEPT_BYTES))
@@ -46,7 +46,7 @@
     assert len(answer.body) <= KEPT_BYTES
 
 
-async def test_a_short_answer_is_kept_whole_for_who_asks_again():
+async def test_a_short_answer_is_kept_whole_for_later_readers():
     answer, reader = Answer(), Reader()
     answer.attach(reader)
     await fill(answer, KEPT_BYTES)
--- a/tests/unit/test_execution.py
+++ b/tests/unit/test_execution.py
@@ -1,4 +1,4 @@
-"""Check that the agent hands a request to its endpoint as it came."""
+"""Check that the agent sends a request to its endpoint unchanged and only once."""
 
 import asyncio
 
@@ -42,8 +42,8 @@
     assert not {"X-Hop", "Connection"} & names
 
 
-class Forgetful:
-    """Run each request, answer those to /answered and close on all others."""
+class ClosingEndpoint:
+    """Accept each request, answer /answered and close the connection on others."""
 
     def __init__(self):
         self.executions = []
@@ -64,13 +64,13 @@
 
 @pytest.mark.parametrize("method", ["POST", "PUT", "DELETE", "PATCH", "GET"])
 @pytest.mark.parametrize("warm", [False, True])
-async def test_a_request_is_never_sent_twice_by_the_client_itself(method, warm):
-    """A club's deposit is recorded twice though it was sent once, by PUT.
+async def test_the_http_client_never_sends_a_request_twice(method, warm):
+    """Guard against a deposit by PUT that is recorded twice though sent once.
 
-    The service records it and its process dies before it answers. The HTTP client
-    takes PUT for repeatable and sends it again to the next process by itself.
+    The service records it and its process ends before it answers. The HTTP client
+    regards PUT as idempotent and would send it again to the next process by itself.
     """
-    endpoint = Forgetful()
+    endpoint = ClosingEndpoint()
     server = await asyncio.start_server(endpoint.serve, "127.0.0.1", 0)
     base = f"http://127.0.0.1:{server.sockets[0].getsockname()[1]}"
     async with open_session(keep_connections=True) as session:
@@ -86,13 +86,13 @@
 
 
 @pytest.mark.parametrize(("kept", "connections"), [(True, 1), (False, 3)])
-async def test_what_may_not_be_repeated_gets_a_connection_of_its_own(kept, connections):
-    """A booking ends unknown although its service is well.
+async def test_non_repeatable_requests_get_their_own_connections(kept, connections):
+    """Guard against a booking that ends as unknown although its service is healthy.
 
-    The service closes a connection that has been idle for a minute just as the next
-    booking leaves on it; whether it ran can't be told.
+    The service closes a connection that was idle for a minute just as the next booking
+    is sent on it, so that the agent can't know whether the booking ran.
     """
-    endpoint = Forgetful()
+    endpoint = ClosingEndpoint()
     server = await asyncio.start_server(endpoint.serve, "127.0.0.1", 0)
     base = f"http://127.0.0.1:{server.sockets[0].getsockname()[1]}"
     async with open_session(keep_connections=kept) as session:
--- a/tests/unit/test_gate.py
+++ b/tests/unit/test_gate.py
@@ -1,4 +1,4 @@
-"""Check that the agent's gate holds back work and shares what there is."""
+"""Check that the agent's gate limits work and shares capacity fairly."""
 
 import random
 
@@ -24,7 +24,7 @@
     assert gate.limit.limit == 8
 
 
-def test_a_sign_of_coldness_takes_the_limit_back_to_the_floor():
+def test_a_sign_of_coldness_resets_the_limit_to_the_floor():
     gate = build_gate(floor=2, ceiling=8, warm_after=3)
     serve(gate, 10)
     cut, *others = works = [build_work(deadline=1e9) for _ in range(8)]
@@ -43,16 +43,15 @@
     assert late.payload.started
 
 
-def test_the_place_of_abandoned_work_is_not_given_away_while_it_still_runs():
-    """A cold engine falls over although the gate counted only two requests in it.
+def test_the_slot_of_abandoned_work_stays_taken_while_it_still_runs():
+    """Guard against a cold engine that runs more requests than the gate counts.
 
-    A caller's deadline passes, its request is cancelled and its place given to the
-    next. The engine ends cancelled work only at its next step, so for a moment it has
-    three, falls over, and cuts the two that were well.
+    An engine ends cancelled work only at its next step. If its slot went to the next
+    request at once, the engine would run three, fail and cut the other two.
     """
     gate = build_gate(floor=2, ceiling=8)
     woken = []
-    gate.wake_after = woken.append
+    gate.schedule_admission = woken.append
     abandoned, other, late = (build_work(deadline=1e9) for _ in range(3))
     for work in (abandoned, other, late):
         gate.offer(work, 0.0)
@@ -62,7 +61,7 @@
     assert late.payload.started
 
 
-def test_a_leaving_endpoint_and_a_zone_taken_out_get_no_new_work():
+def test_a_leaving_endpoint_and_a_zone_that_is_out_get_no_new_work():
     gate = build_gate(floor=1)
     running, waiting = build_work(), build_work()
     gate.offer(running, 0.0)
@@ -77,10 +76,10 @@
 
 
 def test_a_cold_endpoint_gets_no_more_than_its_floor_from_all_entries_together():
-    """Operators bring a zone back and six entries see idle endpoints at once.
+    """Guard against overload by several entries that see an idle endpoint at once.
 
-    Each entry alone would keep to the floor, but together they would send six times
-    as much, and the endpoint would fall over. Only the gate sees all of them.
+    Each entry alone keeps to the floor, but when a zone comes back, six entries
+    together send six times as much. Only the gate receives all requests.
     """
     gate = build_gate(floor=2, ceiling=16)
     works = [build_work(organisation=f"o{index % 3}") for index in range(60)]
@@ -89,11 +88,11 @@
     assert sum(work.payload.started for work in works) == 2
 
 
-def test_after_an_idle_spell_the_limit_is_climbed_again():
-    """An endpoint is restarted in a quiet night and no request notices it.
+def test_after_an_idle_period_the_limit_starts_at_the_floor():
+    """Guard against a warm limit that outlives a restart of the endpoint.
 
-    In the morning the agent still believes in the warm limit, sends sixteen requests
-    at once, and the cold endpoint falls over.
+    No request fails if an endpoint restarts while idle. With the old limit, sixteen
+    requests would start at once and overload the cold endpoint.
     """
     gate = build_gate(floor=2, ceiling=16, warm_after=3)
     serve(gate, 40)
@@ -104,17 +103,17 @@
     assert sum(work.payload.started for work in works) == 2
 
 
-def test_no_more_than_the_floor_is_on_its_way_at_one_moment():
-    """A batch ends, its places are filled anew, and just then the engine restarts.
+def test_no_more_requests_than_the_floor_start_within_a_short_time():
+    """Guard against a round of starts that reaches an engine just restarted.
 
-    It cuts what it ran, but the round of new requests was on its way already and
-    fells the cold engine before the agent can know.
+    A batch ends, its slots are filled at once, and the engine restarts at that moment.
+    The new requests overload the cold engine before the agent notices the restart.
     """
     gate = build_gate(floor=2, ceiling=8, warm_after=3)
     serve(gate, 10)
-    gate.pace = StartLimiter(2, 0.01)
+    gate.start_limiter = StartLimiter(2, 0.01)
     woken = []
-    gate.wake_after = woken.append
+    gate.schedule_admission = woken.append
     works = [build_work(deadline=1e9) for _ in range(6)]
     for work in works:
         gate.offer(work, 10.0)
@@ -125,7 +124,7 @@
     assert all(work.payload.started for work in works)
 
 
-def test_who_fills_the_queue_is_shed_and_not_who_comes_next():
+def test_the_organisation_that_fills_the_queue_is_shed_and_not_the_next():
     gate = build_gate(floor=1, queue_limit=10)
     hot = [build_work("hot") for _ in range(30)]
     refused = [gate.offer(work, 0.0) for work in hot]
@@ -137,8 +136,8 @@
     assert shed[0].payload.refused.retry_after > 0
 
 
-def test_no_place_is_lost_whatever_the_order_of_ends():
-    """Works end, fail, leave and are shed in any order; places must add up."""
+def test_no_slot_is_lost_in_any_order_of_ends():
+    """Guard against slots lost when work ends, fails or is shed in any order."""
     chooser = random.Random(7)
     gate = build_gate(floor=3, ceiling=6, warm_after=2, queue_limit=8)
     offered = []
--- a/tests/unit/test_relay.py
+++ b/tests/unit/test_relay.py
@@ -1,4 +1,4 @@
-"""Check how an answer leaves the agent, on the paused clock."""
+"""Check when the relay sends the bytes of an answer, on the paused clock."""
 
 import asyncio
 
@@ -16,7 +16,7 @@
 
 
 class Session:
-    """Keep what is sent and when."""
+    """Record what is sent and when."""
 
     def __init__(self):
         self.connection = self
@@ -30,7 +30,7 @@
 
 
 async def relay_stream(step, count, piece=EVENT):
-    """Produce pieces at an interval: (times of production, what was sent)."""
+    """Relay pieces made at an interval; return (times of production, sent chunks)."""
     session, answer, times = Session(), Answer(), []
     request = build_request(window=1024 * 1024)
     task = asyncio.create_task(Relay(session, request, answer).run())
@@ -59,7 +59,7 @@
     return held
 
 
-def test_tokens_of_a_quick_stream_leave_together_and_none_is_held_long():
+def test_tokens_of_a_quick_stream_share_chunks_and_none_is_held_long():
     times, chunks = run_paused(relay_stream(0.0005, 200))
     assert len(chunks) <= 200 / 8
     held = delays(times, chunks, len(EVENT))
@@ -73,7 +73,7 @@
     assert max(delays(times, chunks, len(EVENT))) <= ROUNDING
 
 
-def test_a_body_in_bulk_is_not_slowed():
+def test_a_bulk_body_is_not_delayed():
     piece = b"x" * 8192
     times, chunks = run_paused(relay_stream(0.0001, 100, piece))
     assert max(delays(times, chunks, len(piece))) <= ROUNDING
