--- a/packages/fescuedrum-entry/src/fescuedrum_entry/connection/attempt.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/connection/attempt.py
@@ -52,7 +52,7 @@
                 self.record_head(body)
             case frames.Refusal():
                 self.result = RESULT_REFUSED
-                self.metrics.refused(body.reason)
+                self.metrics.count_refusal(body.reason)
                 self.add_step(Step.REFUSED, reason=body.reason)
             case frames.End():
                 self.result = RESULT_ENDED
@@ -85,7 +85,7 @@
         if self.result is None:
             self.result = RESULT_ABANDONED
             self.add_step(Step.LEFT)
-        self.metrics.attempt_ended(self.result)
+        self.metrics.count_attempt(self.result)
 
 
 def describe_endpoint(link):
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/connection/link.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/connection/link.py
@@ -236,7 +236,7 @@
             self.unexpected_frames += 1
             return
         if isinstance(body, frames.End):
-            self.entry.router.delivered(self, body)
+            self.entry.router.record_delivery(self, body)
         exchange.events.put_nowait(body)
 
     def handle_disconnect(self):
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/connection/peer.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/connection/peer.py
@@ -63,11 +63,11 @@
             case members.DocumentBody():
                 self.entry.configuration.update_from_frame(body)
             case members.ZoneDigest():
-                self.entry.members.take_digest(self, body)
+                self.entry.members.receive_digest(self, body)
             case members.ListingPull():
                 self.entry.members.send_listing(self)
             case members.Listing():
-                self.entry.members.take_listing(body)
+                self.entry.members.receive_listing(body)
 
 
 class Peer:
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/process/entry.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/process/entry.py
@@ -36,7 +36,7 @@
 from fescuedrum_entry.operators.accounts import Role
 from fescuedrum_entry.process.ages import LEASE_NAME, ClaimAges
 from fescuedrum_entry.process.claims import ClaimWriter
-from fescuedrum_entry.process.fairness import FairnessKeeper
+from fescuedrum_entry.process.fairness import FairnessReporter
 from fescuedrum_entry.process.members import Members
 from fescuedrum_entry.process.metrics import EntryMetrics
 from fescuedrum_entry.process.router import Router
@@ -105,7 +105,7 @@
         self.faults = FaultPoint(settings.fault_step)
         self.background = set()
         self.retries = collections.defaultdict(ServiceRetries)
-        self.fairness = FairnessKeeper(self, settings.fairness_seconds)
+        self.fairness = FairnessReporter(self, settings.fairness_seconds)
         self.configuration.subscribe(self.fairness.configuration_changed)
         self.quota = Quota(self)
         self.running = 0
@@ -235,7 +235,7 @@
             asyncio.create_task(ages.run(settings.claim_buckets_kept)),
         ]
 
-    def retries_of(self, service):
+    def get_retry_budgets(self, service):
         """Return the retry and hedge budgets of a service at this entry."""
         return self.retries[service]
 
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/process/fairness.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/process/fairness.py
@@ -16,7 +16,7 @@
 REFUSAL_CODES = frozenset(("overloaded", "unavailable", "deadline-passed"))
 
 
-class FairnessKeeper:
+class FairnessReporter:
     """Own the watch: feed it with what requests came to, judge at an interval."""
 
     __slots__ = ("entry", "interval", "watch")
@@ -30,7 +30,7 @@
         organisations = self.entry.configuration.organisations.values()
         self.watch.set_weights({each.name: each.weight for each in organisations})
 
-    def ended(self, trace):
+    def record_request(self, trace):
         """Take a request that came to its end."""
         refused = trace.code in REFUSAL_CODES
         answered = trace.outcome == Outcome.ANSWERED
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/process/members.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/process/members.py
@@ -229,7 +229,7 @@
             body = zlib.compress(lines.encode())
             channel.connection.send(listing=wire.Listing(body))
 
-    def take_listing(self, listing):
+    def receive_listing(self, listing):
         """Take the list that a peer of the zone has read."""
         inflate = zlib.decompressobj()
         lines = json.loads(inflate.decompress(listing.body, MAXIMUM_LISTING_BYTES))
@@ -331,7 +331,7 @@
         members = [each for each in known if each.zone == zone]
         return summarise_zone(zone, members, loads, self.entry.configuration.version)
 
-    def take_digest(self, channel, frame):
+    def receive_digest(self, channel, frame):
         """Keep a zone's digest and pass it on to the own zone if it came first-hand."""
         age = (frame.age_ms or 0) / 1000
         is_new = self.digests.take(load_digest(frame), age, self.loop.time())
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/process/metrics.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/process/metrics.py
@@ -112,7 +112,7 @@
             lambda: entry.leaving,
         )
 
-    def ended(self, trace):
+    def record_request(self, trace):
         """Count a request by its finished trace."""
         service = trace.service or NO_SERVICE
         self.child(self.requests, service, trace.outcome, trace.code).inc()
@@ -131,8 +131,8 @@
             found = self.children[key] = metric.labels(*labels)
         return found
 
-    def refused(self, reason):
+    def count_refusal(self, reason):
         self.child(self.refusals, known_or_other(reason, REFUSAL_REASONS)).inc()
 
-    def attempt_ended(self, result):
+    def count_attempt(self, result):
         self.child(self.attempts, result).inc()
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/process/router.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/process/router.py
@@ -151,7 +151,7 @@
         if candidate is not None:
             self.routes(link.instance.service).view.ended(candidate, organisation)
 
-    def delivered(self, link, end):
+    def record_delivery(self, link, end):
         """Learn from the end of an answer whether the endpoint works.
 
         An error that the endpoint answered may be the caller's fault; counting it
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/request/handler.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/request/handler.py
@@ -68,8 +68,8 @@
             # The caller left before the request had ended.
             trace.end(loop_time(), Outcome.UNKNOWN, CODE_CALLER_LEFT)
         self.entry.traces.finish(trace)
-        self.entry.metrics.ended(trace)
-        self.entry.fairness.ended(trace)
+        self.entry.metrics.record_request(trace)
+        self.entry.fairness.record_request(trace)
 
     async def parse_and_serve(self, http_request, trace):
         """Return the response to a request, or to the error that it ended with."""
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/request/idempotent.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/request/idempotent.py
@@ -67,7 +67,7 @@
         self.reply = reply
         self.selection = selection
         self.answer_relay = AnswerRelay(reply)
-        self.retries = entry.retries_of(call.service)
+        self.retries = entry.get_retry_budgets(call.service)
         self.attempt = 0
         self.retries_taken = 0
         self.may_have_run = False
