--- a/packages/fescuedrum-entry/src/fescuedrum_entry/process/__init__.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/process/__init__.py
@@ -1,1 +1,1 @@
-"""Hold what lives as long as the process."""
+"""Objects that live as long as the entry process."""
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/process/ages.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/process/ages.py
@@ -1,10 +1,12 @@
-"""Delete claims that are older than keys are kept.
+"""Delete claims that are older than the retention time of idempotency keys.
 
-Load pattern: every keyed request leaves a row for good; at 500 a second the table
-would grow by 43 million rows a day. Hosts' clocks differ, so age is counted in buckets:
-a number in the table that one lease holder raises after it has seen it unchanged for a
-bucket's length on its own clock. A holder that dies or is paused makes buckets longer,
-never shorter, so a key is never forgotten early.
+Load pattern: every request with an idempotency key leaves a row in the table. Without
+deletion, 500 such requests a second would add 43 million rows a day.
+
+Hosts' clocks differ, so the age of a claim is counted in buckets. The number of the
+current bucket is a row of the table. The holder of a lease increments it after the
+number was unchanged for one bucket length on the holder's own clock. A holder that dies
+or is paused makes buckets longer, never shorter, so no key is deleted early.
 """
 
 import asyncio
@@ -24,18 +26,19 @@
 
 
 def index_prefix(bucket):
+    """Return the key prefix of the rows that list the claims of a bucket."""
     return f"claim-age/{bucket:012d}/"
 
 
 class ClaimAges:
-    """Follow the number of the present bucket; raise it and sweep under a lease."""
+    """Track the current bucket; increment it and delete old claims under a lease."""
 
     __slots__ = (
         "bucket",
+        "bucket_seen_at",
         "lease",
         "loop",
         "seconds",
-        "seen_at",
         "swept",
         "table",
         "version",
@@ -46,14 +49,14 @@
         self.lease = lease
         self.seconds = seconds
         self.loop = asyncio.get_running_loop()
-        # None until the table was read: claims are not written before.
+        # None until the table was read; no claims are written before that.
         self.bucket = None
         self.swept = 0
         self.version = 0
-        self.seen_at = 0.0
+        self.bucket_seen_at = 0.0
 
     async def run(self, kept):
-        """Follow for as long as the process lives; kept counts whole buckets."""
+        """Run a step periodically until cancelled; keep `kept` whole buckets."""
         while True:
             try:
                 await self.step(kept)
@@ -62,37 +65,39 @@
             await asyncio.sleep(min(self.seconds / 4, MAXIMUM_WAIT_SECONDS))
 
     async def current(self):
-        """Return the present bucket; raise StoreUnavailable if it was never read."""
+        """Return the current bucket; raise StoreUnavailable if it was never read."""
         if self.bucket is None:
             await self.read()
         return self.bucket
 
     async def read(self):
+        """Read the current bucket and the last bucket whose claims were deleted."""
         row = await self.table.get(AGE_KEY)
         value = row.value or {"bucket": 0, "swept": -1}
         if value["bucket"] != self.bucket:
-            self.seen_at = self.loop.time()
+            self.bucket_seen_at = self.loop.time()
         self.bucket = value["bucket"]
         self.swept = value["swept"]
         self.version = row.version
 
     async def step(self, kept):
+        """Read the row; with the lease, start a bucket or delete an old one."""
         await self.read()
         if self.lease.fence is None:
             return
-        if self.loop.time() - self.seen_at >= self.seconds:
+        if self.loop.time() - self.bucket_seen_at >= self.seconds:
             await self.write(self.bucket + 1, self.swept)
         elif self.swept + 1 < self.bucket - kept:
             await self.sweep(self.swept + 1)
             await self.write(self.bucket, self.swept + 1)
 
     async def write(self, bucket, swept):
-        """Write the row if nobody else has; a lost answer shows at the next reading."""
+        """Write the row unless it changed; the next read shows whether this worked."""
         value = {"bucket": bucket, "swept": swept}
         await self.table.transact([Write(AGE_KEY, value, self.version)])
 
     async def sweep(self, bucket):
-        """Delete the claims last written in a bucket, and then its index."""
+        """Delete the claims last written in a bucket, then the bucket's index rows."""
         for index in await self.table.scan(index_prefix(bucket)):
             keys = index.value["keys"]
             for begin in range(0, len(keys), DELETES_PER_WRITE):
@@ -100,13 +105,13 @@
             await self.table.transact([Write(index.key, None, None)])
 
     async def delete(self, keys, bucket):
-        """Delete rows that nobody has written since; they stand in a later index."""
+        """Delete rows not written since the bucket; others are in a later index."""
         rows = await asyncio.gather(*(self.table.get(key) for key in keys))
         old = [
             Write(row.key, None, row.version)
             for row in rows
             if row.value is not None and row.value.get("bucket", 0) <= bucket
         ]
-        # One that is written in this moment fails the group; the next step tries again.
+        # A concurrent write of one row fails the transaction; the next step retries.
         if old and not await self.table.transact(old):
-            raise StoreUnavailable("A claim was written while it was swept.")
+            raise StoreUnavailable("A claim was written while it was being deleted.")
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/process/claims.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/process/claims.py
@@ -1,9 +1,10 @@
 """Write the claims of many requests in one transaction of the platform's table.
 
-Load pattern: hundreds of keyed requests a second at each of many entries. The table
-takes several hundred writes a second in all, so one write for each claim would fill it
-with a tenth of the load. A group costs one write; groups of one entry start at least
-`interval` apart, and one that is slow holds up no other.
+Load pattern: hundreds of requests with idempotency keys a second at each of many
+entries. The table takes several hundred writes a second in total, so with one write for
+each claim a tenth of the load would saturate it. A group of claims costs one write. The
+groups of one entry start at least `interval` seconds apart; a slow group does not delay
+the next one.
 """
 
 import asyncio
@@ -14,83 +15,86 @@
 from fescuedrum.platform.interfaces import Write
 from fescuedrum_entry.process.ages import index_prefix
 
-MAXIMUM_GROUP = 200
+MAXIMUM_GROUP_SIZE = 200
 
 
 @dataclass(slots=True)
-class Pending:
-    """Hold one write and the future of its fate: applied or not."""
+class PendingWrite:
+    """Hold one write and the future that tells whether it was applied."""
 
     write: Write
     applied: asyncio.Future
 
 
 class ClaimWriter:
-    """Own the writes of claims of one entry process."""
+    """Read claims, and queue and write those of one entry process in groups."""
 
     __slots__ = (
         "ages",
-        "groups",
+        "group_count",
         "interval",
         "loop",
         "name",
         "next_start",
+        "queue",
         "table",
         "tasks",
-        "waiting",
     )
 
     def __init__(self, table, interval, ages, name):
         self.table = table
         self.ages = ages
-        # Unique to this life of the entry; index rows carry it.
+        # Unique to this incarnation of the entry; part of the index rows' keys.
         self.name = name
         self.interval = interval
         self.loop = asyncio.get_running_loop()
         self.next_start = 0.0
-        self.waiting = []
+        self.queue = []
         self.tasks = set()
-        # How many writes the table was sent.
-        self.groups = 0
+        # Number of transactions sent to the table.
+        self.group_count = 0
 
     async def read(self, key):
-        """Return (claim, version); raise StoreUnavailable."""
+        """Return (claim or None, row version); raise StoreUnavailable."""
         row = await self.table.get(key)
         claim = record.parse(row.value) if row.value is not None else None
         return claim, row.version
 
     async def write(self, key, claim, expected_version):
-        """Return whether the write took effect; raise StoreUnavailable."""
+        """Write a claim; return whether it was applied, or raise StoreUnavailable."""
         write = Write(key, record.dump(claim), expected_version)
-        pending = Pending(write, self.loop.create_future())
+        pending = PendingWrite(write, self.loop.create_future())
         self.add([pending])
         return await pending.applied
 
     def add(self, pending):
-        if not self.waiting:
-            self.schedule()
-        self.waiting += pending
+        """Append writes to the queue and schedule a group if none is scheduled."""
+        if not self.queue:
+            self.schedule_group()
+        self.queue += pending
 
-    def schedule(self):
+    def schedule_group(self):
+        """Schedule the start of the next group, an interval after the last one."""
         start = max(self.loop.time(), self.next_start)
         self.next_start = start + self.interval
         self.loop.call_at(start, self.start_group)
 
     def start_group(self):
-        group, self.waiting = self.take_group(self.waiting)
-        if self.waiting:
-            self.schedule()
+        """Take a group from the queue and commit it in a task."""
+        group, self.queue = self.split_group(self.queue)
+        if self.queue:
+            self.schedule_group()
         task = asyncio.create_task(self.commit(group))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def take_group(self, waiting):
-        """Split what waits: one write for each key, at most MAXIMUM_GROUP in all."""
+    def split_group(self, queue):
+        """Return (group, rest); a group has one write a key and a maximum size."""
         group, rest, keys = [], [], set()
-        for pending in waiting:
+        for pending in queue:
             if pending.applied.done():
                 continue
-            if pending.write.key in keys or len(group) == MAXIMUM_GROUP:
+            if pending.write.key in keys or len(group) == MAXIMUM_GROUP_SIZE:
                 rest.append(pending)
                 continue
             keys.add(pending.write.key)
@@ -98,47 +102,49 @@
         return group, rest
 
     async def commit(self, group):
+        """Write a group in one transaction and resolve its futures."""
         if not group:
             return
-        self.groups += 1
+        self.group_count += 1
         try:
-            writes = await self.with_index(group)
+            writes = await self.add_index(group)
             applied = await self.table.transact(writes)
             if not applied and len(group) > 1:
-                await self.separate(group)
+                await self.resend_without_conflicts(group)
                 return
         except StoreUnavailable as error:
-            settle(group, error=error)
+            resolve(group, error=error)
             return
-        settle(group, applied=applied)
+        resolve(group, applied=applied)
 
-    async def with_index(self, group):
-        """Return the group's writes, marked with their age, and one that lists them."""
+    async def add_index(self, group):
+        """Set the writes' bucket; return them with one that lists their keys."""
         bucket = await self.ages.current()
         for pending in group:
             pending.write.value["bucket"] = bucket
         writes = [pending.write for pending in group]
-        key = f"{index_prefix(bucket)}{self.name}-{self.groups}"
+        key = f"{index_prefix(bucket)}{self.name}-{self.group_count}"
         keys = [write.key for write in writes]
         return [*writes, Write(key, {"keys": keys}, None)]
 
-    async def separate(self, group):
-        """Find the writes that came too late and send the others again.
+    async def resend_without_conflicts(self, group):
+        """Resolve the writes whose row has changed as not applied; requeue the others.
 
-        The table refuses a group as a whole, so one repeated key would otherwise
-        fail the claims of all who happen to share its group.
+        The table refuses a group as a whole, so without this one repeated key would
+        fail the claims of all other requests in its group.
         """
         rows = await asyncio.gather(*(self.table.get(each.write.key) for each in group))
-        late, others = [], []
+        conflicting, others = [], []
         for pending, row in zip(group, rows, strict=True):
             matches = row.version == pending.write.expected_version
-            (others if matches else late).append(pending)
-        settle(late, applied=False)
+            (others if matches else conflicting).append(pending)
+        resolve(conflicting, applied=False)
         if others:
             self.add(others)
 
 
-def settle(group, *, applied=False, error=None):
+def resolve(group, *, applied=False, error=None):
+    """Set the result or the error of each write's future that is not done yet."""
     for pending in group:
         if pending.applied.done():
             continue
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/process/entry.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/process/entry.py
@@ -1,4 +1,4 @@
-"""Tie the parts of the entry process together."""
+"""Create, start and stop the components of the entry process."""
 
 import asyncio
 import collections
@@ -50,7 +50,7 @@
 
 
 class Entry:
-    """Own the links, the configuration and the HTTP server of one entry process."""
+    """Hold the links, the configuration and the HTTP server of one entry process."""
 
     __slots__ = (
         "background",
@@ -91,13 +91,13 @@
         self.links = {}
         self.link_tasks = {}
         self.peers = Peers(settings.peer_keys, settings.peer_tls, self.hello)
-        # The server that holds callers' connections.
+        # The server of callers' connections, once it is running.
         self.callers = None
         self.callers_tls = Certificates()
         self.platform = None
         self.random = random.Random(incarnation)
         self.router = Router(self, settings.routing_policy, self.random)
-        self.configuration.subscribe(self.router.refresh_all)
+        self.configuration.subscribe(self.router.refresh_all_targets)
         self.pending_calls = PendingCalls(
             self, settings.endpoint_wait_limit, settings.endpoint_wait_seconds
         )
@@ -111,13 +111,13 @@
         self.running = 0
         self.traces = TraceBuffer(settings.trace_count, settings.trace_slow_seconds)
         self.metrics = EntryMetrics()
-        # Set once the process was told to stop.
+        # Set once the process has been asked to stop.
         self.stop_plan = None
         self.metrics.watch(self)
         live_fields["version"] = lambda: self.configuration.version
 
     async def run(self):
-        """Serve until a signal, then drain and stop."""
+        """Serve until a stop signal, then drain and stop."""
         stop = stop_event()
         on_reload(self.callers_tls.reload, self.peers.certificates.reload)
         async with aiohttp.ClientSession() as session:
@@ -153,6 +153,7 @@
         log_event(logger, EntryStopped())
 
     async def listen(self, runner):
+        """Listen for callers, with TLS if the settings name a certificate."""
         settings = self.settings
         context = None
         if settings.callers_tls is not None:
@@ -162,14 +163,16 @@
 
     @property
     def leaving(self):
+        """Return whether the process has been asked to stop."""
         return self.stop_plan is not None
 
     def build_application(self):
+        """Return the HTTP application for callers, operators and health checks."""
         application = web.Application()
         handler.add_routes(application, self)
         application.router.add_get("/healthz", self.healthz)
         application.router.add_get("/readyz", self.readyz)
-        # The names of organisations are in it, and callers reach this port.
+        # Metrics contain names of organisations, and callers can reach this port.
         metrics = require_role(self, Role.VIEWER, self.expose_metrics)
         application.router.add_get("/metrics", metrics)
         operators.add_routes(application, self)
@@ -179,11 +182,13 @@
         return application
 
     async def healthz(self, _):
+        """Answer that the process is alive."""
         return web.json_response({"alive": True})
 
     async def readyz(self, _):
+        """Answer 200 if the entry should get new callers, 503 otherwise."""
         configuration = self.configuration
-        # Callers that come to a zone taken out would cross to another for nothing.
+        # Requests of callers in a zone out of service would only cross to another.
         zone_out = configuration.is_zone_out(self.settings.zone)
         loaded = configuration.document is not None
         ready = loaded and not self.leaving and not zone_out
@@ -191,14 +196,15 @@
         return web.json_response(body, status=200 if ready else 503)
 
     async def expose_metrics(self, _):
+        """Answer with all metrics in the exposition format."""
         text, content_type = self.metrics.catalogue.expose()
         return web.Response(body=text, headers={"Content-Type": content_type})
 
     async def drain(self):
-        """Turn readiness down, say so, and let running requests end.
+        """Report not ready, announce the stop and wait until running requests end.
 
-        The balancer goes on sending until it has asked /readyz again. A process that
-        closed its listener at once would cut those callers off.
+        The balancer sends new callers until its next check of /readyz. Closing the
+        listener at once would break the connections of these callers.
         """
         loop = asyncio.get_running_loop()
         notice = self.settings.notice_seconds
@@ -213,16 +219,16 @@
         log_event(logger, EntryDrained(self.running, open_connections, seconds))
 
     def count_running(self):
-        """Count what a stop waits for.
+        """Return the number of requests and tasks that a stop waits for.
 
-        The failure: an order whose body is on its way counts nowhere yet, the process
-        ends, and its caller can't know that it did not run. An operator's change may
-        likewise be at the store. Both are in hand from their head to their answer.
+        It includes requests whose body is still being received and operators' changes
+        that are being written to the store. Otherwise the process could end first, and
+        the caller or operator could not know whether the request or change took effect.
         """
         return self.running + len(self.background) + self.callers.count_active()
 
     def start_claims(self):
-        """Start what writes claims and what deletes old ones; return the tasks."""
+        """Create the claim writer; start and return the tasks deleting old claims."""
         settings = self.settings
         holder = f"{settings.name}-{self.incarnation}"
         lease = Lease(self.platform, LEASE_NAME, holder, self.random)
@@ -240,19 +246,19 @@
         return self.retries[service]
 
     def spawn(self, coroutine):
-        """Run work that outlives its request and holds up a stop."""
+        """Run a coroutine that may outlive its request; a stop waits for it."""
         task = asyncio.create_task(coroutine)
         self.background.add(task)
         task.add_done_callback(self.background.discard)
 
     def send_heartbeats(self):
-        """Tell every agent and entry at once, as of a new version."""
+        """Send a heartbeat to every linked agent and entry at once."""
         self.members.send_heartbeats()
         for link in self.links.values():
             link.send(heartbeat=self.heartbeat())
 
     def update_links(self, instances):
-        """Keep a link to each of the agents given; tell whether some are left over."""
+        """Link to exactly these agents; return whether some links must close later."""
         agents = {each.name: each for each in instances}
         for name, instance in agents.items():
             if name not in self.links:
@@ -260,20 +266,20 @@
                 self.links[name] = link
                 self.link_tasks[name] = asyncio.create_task(link.run())
         for name in [*self.links]:
-            if name not in agents and self.may_unlink(name):
+            if name not in agents and self.can_unlink(name):
                 self.link_tasks.pop(name).cancel()
                 self.router.forget(self.links.pop(name))
         return len(self.links) > len(agents)
 
-    def may_unlink(self, name):
-        """Tell whether a link that is not called for may be closed now."""
+    def can_unlink(self, name):
+        """Return whether a link that is no longer wanted can be closed now."""
         link = self.links[name]
-        # The list lags: an instance gone from it keeps its link while it answers.
+        # The list lags: an instance missing from it keeps its link while connected.
         listed = {each.name for each in self.members.instances}
         return link.connection is None or (name in listed and not link.exchanges)
 
     def served_zones(self):
-        """Return the zones in which endpoints of each service are usable now."""
+        """Return, for each service, the set of zones with usable endpoints."""
         served = {}
         for link in self.links.values():
             if link.usable:
@@ -281,10 +287,11 @@
         return served
 
     def describe_members(self):
-        """Return what is known of each process that this entry is linked to."""
+        """Return the status of each member that this entry reports to operators."""
         return self.members.describe()
 
     def hello(self):
+        """Return the frame that introduces this entry on a connection."""
         return Hello(
             instance=self.settings.name,
             incarnation=self.incarnation,
@@ -293,6 +300,7 @@
         )
 
     def heartbeat(self):
+        """Return a heartbeat frame with this entry's current state."""
         return Heartbeat(
             version=self.configuration.version,
             leaving=self.leaving,
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/process/fairness.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/process/fairness.py
@@ -1,4 +1,4 @@
-"""Watch that this entry's organisations are served alike."""
+"""Monitor whether this entry serves its organisations alike and log findings."""
 
 import asyncio
 import logging
@@ -12,31 +12,32 @@
 
 logger = logging.getLogger(__name__)
 
-# Refusals that are this system's decision, not the caller's mistake.
+# Error codes of refusals decided by this system, not caused by the caller.
 REFUSAL_CODES = frozenset(("overloaded", "unavailable", "deadline-passed"))
 
 
 class FairnessReporter:
-    """Own the watch: feed it with what requests came to, judge at an interval."""
+    """Feed the fairness monitor with ended requests and report its findings."""
 
-    __slots__ = ("entry", "interval", "watch")
+    __slots__ = ("entry", "interval", "monitor")
 
     def __init__(self, entry, interval):
         self.entry = entry
         self.interval = interval
-        self.watch = FairnessMonitor()
+        self.monitor = FairnessMonitor()
 
     def configuration_changed(self):
+        """Pass the organisations' weights to the monitor."""
         organisations = self.entry.configuration.organisations.values()
-        self.watch.set_weights({each.name: each.weight for each in organisations})
+        self.monitor.set_weights({each.name: each.weight for each in organisations})
 
     def record_request(self, trace):
-        """Take a request that came to its end."""
+        """Pass an answered or refused request to the monitor, given its trace."""
         refused = trace.code in REFUSAL_CODES
         answered = trace.outcome == Outcome.ANSWERED
         if not trace.organisation or not (answered or refused):
             return
-        self.watch.observe(
+        self.monitor.observe(
             Observation(
                 organisation=trace.organisation,
                 service=trace.service,
@@ -48,7 +49,7 @@
                 first_token=trace.first_byte or 0.0,
                 total=trace.seconds,
                 cold=trace.cold,
-                # A refusal tried elsewhere is counted as such, not as a repeat.
+                # A refused request that was retried elsewhere counts as refused only.
                 repeated=answered and trace.attempts > 1,
                 zone=trace.zone,
                 endpoint=trace.endpoint,
@@ -57,25 +58,28 @@
         )
 
     async def run(self):
-        """Judge each interval; other tasks get their turn after each organisation."""
+        """Evaluate every interval; yield to other tasks after each organisation."""
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(self.interval)
-            interval = self.watch.close_interval()
-            before = {(each.organisation, each.id) for each in self.watch.findings()}
+            interval = self.monitor.close_interval()
+            before = {(each.organisation, each.id) for each in self.monitor.findings()}
             for organisation in interval.organisations:
-                for finding in self.watch.evaluate(organisation, interval, loop.time()):
+                for finding in self.monitor.evaluate(
+                    organisation, interval, loop.time()
+                ):
                     log_event(logger, FairnessFindingReported(str(finding)))
                 await asyncio.sleep(0)
             self.report_cleared(before)
 
     def report_cleared(self, before):
-        standing = {(each.organisation, each.id) for each in self.watch.findings()}
-        for organisation, name in before - standing:
+        """Log the findings that existed before and don't exist any more."""
+        current = {(each.organisation, each.id) for each in self.monitor.findings()}
+        for organisation, name in before - current:
             log_event(logger, FairnessFindingCleared(organisation, name))
 
     def report(self, now):
-        """Return findings and accounts as JSON values."""
+        """Return the findings and each organisation's account as JSON values."""
         findings = [
             {
                 "id": each.id,
@@ -88,11 +92,11 @@
                 "seconds": round(now - each.since, 1),
                 "message": str(each),
             }
-            for each in self.watch.findings()
+            for each in self.monitor.findings()
         ]
         accounts = {
-            name: describe(account)
-            for name, account in sorted(self.watch.accounts.items())
+            name: describe_account(account)
+            for name, account in sorted(self.monitor.accounts.items())
             if account.requests
         }
         return {
@@ -102,7 +106,8 @@
         }
 
 
-def describe(account):
+def describe_account(account):
+    """Return an organisation's account as JSON values."""
     answered = max(account.answered, 1)
     entitled = account.entitled
     return {
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/process/metrics.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/process/metrics.py
@@ -1,4 +1,4 @@
-"""Declare the entry's metrics and count what its requests come to."""
+"""Declare the entry's metrics and count the results of its requests."""
 
 from fescuedrum.decisions.admission import RefusalReason
 from fescuedrum.metrics import (
@@ -19,7 +19,7 @@
 
 
 class EntryMetrics:
-    """Own the entry's metrics; each method counts one kind of event."""
+    """Hold the entry's metrics, with a method to count each kind of event."""
 
     __slots__ = (
         "attempts",
@@ -74,11 +74,11 @@
         )
 
     def watch(self, entry):
-        """Declare the gauges that are read from the entry's parts."""
+        """Declare the gauges whose values are read from the entry when exposed."""
         callback_gauge = self.catalogue.callback_gauge
         callback_gauge(
             "fescuedrum_running_requests",
-            "Requests that run now.",
+            "Requests running now.",
             lambda: entry.running,
         )
         callback_gauge("fescuedrum_links", "Agents known.", lambda: len(entry.links))
@@ -89,12 +89,12 @@
         )
         callback_gauge(
             "fescuedrum_unexpected_frames",
-            "Frames of agents that fitted no request since each link began.",
+            "Frames of agents that matched no request, since each link was opened.",
             lambda: sum(link.unexpected_frames for link in entry.links.values()),
         )
         callback_gauge(
             "fescuedrum_unsent_bytes",
-            "Bytes that agents have not taken yet.",
+            "Bytes queued for agents and not sent yet.",
             lambda: sum(
                 link.connection.unsent_bytes
                 for link in entry.links.values()
@@ -108,12 +108,12 @@
         )
         callback_gauge(
             "fescuedrum_leaving",
-            "1 while the process drains for its stop.",
+            "1 while the process drains before its stop.",
             lambda: entry.leaving,
         )
 
     def record_request(self, trace):
-        """Count a request by its finished trace."""
+        """Count an ended request and observe its times, given its trace."""
         service = trace.service or NO_SERVICE
         self.child(self.requests, service, trace.outcome, trace.code).inc()
         if trace.organisation:
@@ -124,7 +124,7 @@
                 self.child(self.first_byte, service).observe(trace.first_byte)
 
     def child(self, metric, *labels):
-        """Return one time series; the library's own look-up takes a lock each time."""
+        """Return a cached time series; the library's look-up takes a lock each time."""
         key = (metric, labels)
         found = self.children.get(key)
         if found is None:
@@ -132,7 +132,9 @@
         return found
 
     def count_refusal(self, reason):
+        """Count an attempt that an agent refused."""
         self.child(self.refusals, known_or_other(reason, REFUSAL_REASONS)).inc()
 
     def count_attempt(self, result):
+        """Count an ended attempt by its result."""
         self.child(self.attempts, result).inc()
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/process/router.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/process/router.py
@@ -1,4 +1,4 @@
-"""Keep what this entry knows of every endpoint up to date, and wake who waits."""
+"""Track the state of every endpoint and wake requests that wait for one."""
 
 import asyncio
 
@@ -9,11 +9,12 @@
 
 
 def loop_time():
+    """Return the time of the running event loop in seconds."""
     return asyncio.get_running_loop().time()
 
 
 class Target:
-    """Hold one agent's connection with what is known of its endpoint."""
+    """Hold an agent's link with the routing state and breaker of its endpoint."""
 
     __slots__ = ("breaker", "candidate", "link")
 
@@ -36,7 +37,7 @@
 
 
 class Router:
-    """Own the view of each service; reports and results update it as they come."""
+    """Hold the endpoints of each service, updated by heartbeats and results."""
 
     __slots__ = ("entry", "policy", "random", "services")
 
@@ -47,12 +48,13 @@
         self.services = {}
 
     def routes(self, service):
+        """Return the routes of a service, created at first use."""
         if service not in self.services:
             self.services[service] = ServiceRoutes(self.policy)
         return self.services[service]
 
     def heard(self, link):
-        """Take the report of a heartbeat."""
+        """Update an endpoint from the load in its agent's last heartbeat."""
         routes = self.routes(link.instance.service)
         name = link.instance.name
         target = routes.targets.get(name)
@@ -65,7 +67,7 @@
             waiting=load.waiting or 0,
             limit=load.limit or 1,
             warm=bool(load.warm),
-            # A release that doesn't count has seen what was sent.
+            # A release that doesn't report the count: assume that all has arrived.
             received=target.candidate.sent if load.received is None else load.received,
             loaded=frozenset(load.loaded or ()),
         )
@@ -74,7 +76,7 @@
         self.refresh(routes, target)
 
     def lost(self, link):
-        """Forget an endpoint whose connection ended; a new one counts from zero."""
+        """Remove an endpoint whose connection ended; counts restart from zero."""
         routes = self.routes(link.instance.service)
         target = routes.targets.get(link.instance.name)
         if target is not None:
@@ -82,57 +84,59 @@
             target.candidate = Candidate(link.instance.name, link.instance.zone)
 
     def forget(self, link):
-        """Drop an endpoint that is gone from the instance list."""
+        """Remove an endpoint that is no longer in the instance list."""
         routes = self.routes(link.instance.service)
         routes.view.remove(link.instance.name)
         routes.outliers.forget(link.instance.name)
         routes.targets.pop(link.instance.name, None)
 
-    def refresh_all(self):
-        """Follow a change of the zones that are out."""
+    def refresh_all_targets(self):
+        """Refresh every endpoint after a change of the zones out of service."""
         for routes in self.services.values():
             for target in routes.targets.values():
                 self.refresh(routes, target)
 
     def refresh(self, routes, target):
-        """Put an endpoint into the view or take it out, and wake who waits for one."""
-        if not self.eligible(routes, target):
+        """Add an endpoint to the view or remove it; wake waiting requests if added."""
+        if not self.is_eligible(routes, target):
             routes.view.remove(target.candidate.name)
             return
         routes.view.add(target.candidate)
         changed, routes.changed = routes.changed, asyncio.Event()
         changed.set()
 
-    def eligible(self, routes, target):
+    def is_eligible(self, routes, target):
+        """Return whether an endpoint may get new requests now."""
         now = loop_time()
         link = target.link
         return (
             link.usable
             and link.instance.zone not in self.entry.configuration.zones_out
             and target.breaker.allows(now)
-            and self.unsuspected(routes, link.instance.name, now)
+            and self.passes_outlier_check(routes, link.instance.name, now)
         )
 
-    def unsuspected(self, routes, name, now):
-        # The baselines choose among all: with the slow one taken out for them as
-        # well, experiments would not show what it does to them.
+    def passes_outlier_check(self, routes, name, now):
+        """Return whether outlier detection allows new requests to an endpoint."""
+        # Baseline policies choose among all endpoints: with outliers removed for
+        # them too, experiments would not show the effect of a slow endpoint.
         if self.policy is not RoutingPolicy.ADAPTIVE:
             return True
         return routes.outliers.allows(name, now)
 
-    def choose(self, service, wish):
-        """Return the link of the chosen endpoint, or None when there is none."""
+    def choose(self, service, preference):
+        """Return the link of the chosen endpoint, or None if no endpoint is usable."""
         routes = self.routes(service)
-        while candidate := routes.view.choose(wish, self.random):
+        while candidate := routes.view.choose(preference, self.random):
             target = routes.targets[candidate.name]
             if target.link.usable:
                 return target.link
-            # It became congested since its last report, and is back with the next.
+            # It became unusable since its last report; the next one adds it again.
             routes.view.remove(candidate.name)
         return None
 
     def sent(self, link, organisation):
-        """Count a request; return the candidate that its end is counted on."""
+        """Count a sent request; return the candidate to pass to `ended`."""
         routes = self.routes(link.instance.service)
         target = routes.targets.get(link.instance.name)
         if target is None:
@@ -141,29 +145,30 @@
         routes.view.sent(target.candidate, organisation)
         target.breaker.sent(now)
         routes.outliers.sent(link.instance.name, now)
-        # The one trial of an endpoint under suspicion is on its way: no second one.
-        if not self.eligible(routes, target):
+        # An endpoint that is being probed gets no second request until the result.
+        if not self.is_eligible(routes, target):
             routes.view.remove(link.instance.name)
         return target.candidate
 
     def ended(self, link, candidate, organisation):
-        """Count the end of a request that was counted on a candidate."""
+        """Count the end of a request; `sent` returned the candidate."""
         if candidate is not None:
             self.routes(link.instance.service).view.ended(candidate, organisation)
 
     def record_delivery(self, link, end):
-        """Learn from the end of an answer whether the endpoint works.
+        """Update the endpoint's breaker from the end of an answer.
 
-        An error that the endpoint answered may be the caller's fault; counting it
-        would let one caller take the endpoint from all others.
+        An error answered by the endpoint may be caused by the request and counts as a
+        success. Otherwise one caller could open the breaker for all other callers.
         """
         match end.outcome:
             case Outcome.ANSWERED | Outcome.FAILED:
-                self.settled(link, failed=False)
+                self.record_result(link, failed=False)
             case _ if end.unavailable:
-                self.settled(link, failed=True)
+                self.record_result(link, failed=True)
 
-    def settled(self, link, *, failed):
+    def record_result(self, link, *, failed):
+        """Pass a success or failure to the endpoint's breaker and refresh it."""
         routes = self.routes(link.instance.service)
         target = routes.targets.get(link.instance.name)
         if target is None:
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/process/seeds.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/process/seeds.py
@@ -1,4 +1,4 @@
-"""Declare where a new process starts when the platform is out."""
+"""Settings of the entries that a new process contacts if the platform is down."""
 
 from dataclasses import dataclass
 
@@ -7,8 +7,8 @@
 
 @dataclass(slots=True)
 class Seed:
-    """Name an entry of the zone that a new process asks when the platform is out."""
+    """Hold the address of an entry to contact at start if the platform is down."""
 
     name: str = setting(help="Name of the entry.")
     host: str = setting(help="IP address of the entry.")
-    port: int = setting(help="Its port for peers.", minimum=1, maximum=65535)
+    port: int = setting(help="Port of the entry for peers.", minimum=1, maximum=65535)
