--- a/packages/fescuedrum-entry/src/fescuedrum_entry/operators/__init__.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/operators/__init__.py
@@ -1,1 +1,1 @@
-"""Serve operators: their sign-in, the API of the configuration and the console."""
+"""The operators' API and console, with sign-in and roles."""
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/operators/access.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/operators/access.py
@@ -1,4 +1,4 @@
-"""Protect the operators' routes with tokens, roles and a limit on sign-ins."""
+"""Protect the operators' routes with tokens, roles and a sign-in limit."""
 
 import asyncio
 import functools
@@ -12,11 +12,11 @@
 ACCOUNT = web.RequestKey("account", object)
 FAILURES_BEFORE_LIMIT = 10
 FAILURE_WINDOW_SECONDS = 60.0
-REMEMBERED_ADDRESSES = 1000
+MAXIMUM_ADDRESSES = 1000
 
 
 class SignInLimit:
-    """Refuse an address that failed to sign in too often; guards against guessing."""
+    """Count failed sign-ins of each address and refuse those that guess tokens."""
 
     __slots__ = ("failures",)
 
@@ -24,40 +24,45 @@
         self.failures = {}
 
     def check(self, address, now):
-        """Raise TooManySignIns when the address has used up its failures."""
-        if len(self.recent(address, now)) >= FAILURES_BEFORE_LIMIT:
+        """Raise TooManySignIns if the address failed too often within the window."""
+        if len(self.recent_failures(address, now)) >= FAILURES_BEFORE_LIMIT:
             raise TooManySignIns("", retry_after=int(FAILURE_WINDOW_SECONDS))
 
-    def failed(self, address, now):
-        """Count a failed sign-in; the address seen longest ago is forgotten first."""
-        times = [*self.recent(address, now), now]
+    def record_failure(self, address, now):
+        """Count a failed sign-in; if full, drop the address idle the longest."""
+        times = [*self.recent_failures(address, now), now]
         self.failures.pop(address, None)
         self.failures[address] = times
-        if len(self.failures) > REMEMBERED_ADDRESSES:
+        if len(self.failures) > MAXIMUM_ADDRESSES:
             self.failures.pop(next(iter(self.failures)))
 
-    def recent(self, address, now):
+    def recent_failures(self, address, now):
+        """Return the times of the address's failures within the window."""
         since = now - FAILURE_WINDOW_SECONDS
-        return [moment for moment in self.failures.get(address, ()) if moment > since]
+        return [
+            failed_at
+            for failed_at in self.failures.get(address, ())
+            if failed_at > since
+        ]
 
 
 def sign_in(entry, request, token):
-    """Return the account that a token names; raise NotSignedIn or TooManySignIns."""
+    """Return the account of a token; raise NotSignedIn or TooManySignIns."""
     now = asyncio.get_running_loop().time()
     limit = entry.sign_in_limit
     limit.check(request.remote, now)
     try:
         return find_account(entry.settings.operators, token)
     except NotSignedIn:
-        limit.failed(request.remote, now)
+        limit.record_failure(request.remote, now)
         raise
 
 
 def require_role(entry, role, handler):
-    """Wrap a route's handler: it runs only for operators of this role or above.
+    """Return a route's handler that requires an operator of this role or above.
 
     The handler finds the operator's account in request[ACCOUNT]. A FescuedrumError
-    that it raises becomes an error body of the usual shape.
+    that it raises is answered with the usual error body.
     """
 
     @functools.wraps(handler)
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/operators/accounts.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/operators/accounts.py
@@ -1,4 +1,4 @@
-"""Declare operators, their roles and their tokens."""
+"""Declare the accounts of operators, with their roles and tokens."""
 
 import enum
 from dataclasses import dataclass
@@ -9,14 +9,14 @@
 
 
 class Role(enum.StrEnum):
-    """Name what an operator may do; each role includes those before it."""
+    """Define what an operator may do; each role includes the roles before it."""
 
     VIEWER = "viewer"
     OPERATOR = "operator"
     ADMIN = "admin"
 
     def includes(self, other):
-        """Tell whether this role may do what the other may."""
+        """Return whether this role has all permissions of another."""
         return ROLE_ORDER.index(self) >= ROLE_ORDER.index(other)
 
 
@@ -33,7 +33,7 @@
 
 
 def find_account(accounts, token):
-    """Return the account whose token this is; raise NotSignedIn."""
+    """Return the account that a token belongs to; raise NotSignedIn if none."""
     name = token.partition(".")[0]
     for account in accounts:
         if account.name == name and any(each.matches(token) for each in account.tokens):
@@ -42,6 +42,6 @@
 
 
 def check_role(account, role):
-    """Raise NotAllowed when the account's role does not include this one."""
+    """Raise NotAllowed if the account's role does not include a role."""
     if not account.role.includes(role):
         raise NotAllowed(f"{account.name} is {account.role}, not {role}.")
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/operators/changes.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/operators/changes.py
@@ -1,4 +1,4 @@
-"""Let operators read, check, compare and apply the configuration document."""
+"""Serve the API to read, check, compare and apply the configuration document."""
 
 import asyncio
 import copy
@@ -27,15 +27,15 @@
 )
 
 MAXIMUM_DOCUMENT_BYTES = 16 * 1024 * 1024
-DEFAULT_TRAIL_ROWS = 50
-MAXIMUM_TRAIL_ROWS = 10_000
+DEFAULT_AUDIT_ROWS = 50
+MAXIMUM_AUDIT_ROWS = 10_000
 MAXIMUM_ID_LENGTH = 100
-# The longest that its calls to the platform can take.
-CHANGE_SECONDS = 8.0
+# Upper limit of the time that a change's calls to the platform take.
+MAXIMUM_CHANGE_SECONDS = 8.0
 
 
-class Newest:
-    """Hold the newest accepted document that this entry can learn of."""
+class NewestDocument:
+    """Hold the newest accepted document that this entry can read."""
 
     __slots__ = ("document", "document_hash", "from_platform", "version")
 
@@ -47,7 +47,7 @@
 
 
 class Changes:
-    """Serve the routes of the configuration at one entry."""
+    """Handle the requests of the configuration API at one entry."""
 
     __slots__ = ("entry",)
 
@@ -55,6 +55,7 @@
         self.entry = entry
 
     def add_routes(self, router):
+        """Add the routes of the configuration API, each with its required role."""
         entry = self.entry
         for method, path, role, handler in (
             ("GET", "configuration", Role.VIEWER, self.show),
@@ -67,17 +68,17 @@
             router.add_route(method, f"/operators/{path}", protected)
 
     async def newest(self):
-        """Return the head's document, or the one in force when the store is out."""
+        """Return the head's document, or the one in force if the store is down."""
         configuration = self.entry.configuration
         try:
             head, _ = await read_head(self.entry.platform)
             applier = ChangeApplier(self.entry.platform)
             document = await applier.read_document(head.hash)
-            return Newest(head.version, head.hash, document, True)
+            return NewestDocument(head.version, head.hash, document, True)
         except StoreUnavailable:
             if configuration.document is None:
                 raise
-            return Newest(
+            return NewestDocument(
                 configuration.version,
                 configuration.document_hash,
                 configuration.document,
@@ -85,11 +86,12 @@
             )
 
     async def show(self, request):
+        """Answer with the newest document, without keys for viewers."""
         newest = await self.newest()
         document = newest.document
         redacted = not request[ACCOUNT].role.includes(Role.OPERATOR)
         if redacted:
-            document = without_keys(document)
+            document = copy_without_keys(document)
         return web.json_response(
             {
                 "version": newest.version,
@@ -101,12 +103,13 @@
         )
 
     async def check(self, request):
+        """Answer with the findings of a proposed document."""
         data = await read_json(request)
         findings = await self.list_findings(data)
         return web.json_response({"findings": dump_findings(findings)})
 
     async def list_findings(self, data):
-        """List the findings of a proposed document and of the change to it."""
+        """Return the findings of a proposed document and of the change to it."""
         decoded = documents.decode(json.dumps(data.get("document")))
         if decoded.is_err():
             return decoded.err_value
@@ -118,6 +121,7 @@
         )
 
     async def compare(self, request):
+        """Answer with the differences of a document from the newest one."""
         data = await read_json(request)
         newest = await self.newest()
         changes = diff(newest.document, load_document(data))
@@ -125,6 +129,7 @@
         return web.json_response({"version": newest.version, "changes": described})
 
     async def apply(self, request):
+        """Apply a change and answer with its version, findings or conflict."""
         data = await read_json(request)
         try:
             proposal = build_proposal(data, request[ACCOUNT].name)
@@ -150,17 +155,18 @@
         )
 
     def check_stop(self):
-        """Refuse a change whose calls to the platform may outlast this process."""
+        """Raise ProcessStopping if the process may end before a change is written."""
         plan = self.entry.stop_plan
         now = asyncio.get_running_loop().time()
-        if plan is not None and not plan.accepts(now, now + CHANGE_SECONDS):
+        if plan is not None and not plan.accepts(now, now + MAXIMUM_CHANGE_SECONDS):
             raise stopping_error()
 
     async def accept(self, proposal):
-        """Apply a change and put it in force here, from where it spreads.
+        """Apply a change and put it in force here; other processes follow.
 
-        Raise ProcessStopping when the end of this process might cut it: the change
-        would be in force, and its operator would see a broken connection.
+        Raise ProcessStopping if the process may end before the change is written.
+        Otherwise the change could be in force while its operator sees a broken
+        connection.
         """
         self.check_stop()
         applier = ChangeApplier(self.entry.platform)
@@ -171,6 +177,7 @@
         return accepted
 
     async def audit(self, request):
+        """Answer with the newest audit records and the findings of their check."""
         count = read_count(request)
         head, _ = await read_head(self.entry.platform)
         records = await read_audit_records(self.entry.platform, head.version, count)
@@ -185,6 +192,7 @@
 
 
 async def read_json(request):
+    """Return the JSON object of a request's body; raise BadRequest."""
     body = await request.content.read(MAXIMUM_DOCUMENT_BYTES + 1)
     while not request.content.at_eof():
         body += await request.content.read(MAXIMUM_DOCUMENT_BYTES + 1)
@@ -195,11 +203,12 @@
     except ValueError as error:
         raise BadRequest(f"The body is not JSON: {error}.") from error
     if not isinstance(data, dict):
-        raise BadRequest("The body is no JSON object.")
+        raise BadRequest("The body is not a JSON object.")
     return data
 
 
 def load_document(data):
+    """Return the document in a request's data; raise ChangeInvalid."""
     decoded = documents.decode(json.dumps(data.get("document")))
     if decoded.is_err():
         raise ChangeInvalid(findings=decoded.err_value)
@@ -207,26 +216,29 @@
 
 
 def read_allowed(data):
+    """Return the allowances in a request's data; raise BadRequest."""
     try:
         return [Allowance(word) for word in data.get("allowed", [])]
     except (ValueError, TypeError) as error:
         words = ", ".join(Allowance)
-        raise BadRequest(f"Words that allow harm are: {words}.") from error
+        raise BadRequest(f"The allowances are: {words}.") from error
 
 
 def read_count(request):
-    text = request.query.get("count", str(DEFAULT_TRAIL_ROWS))
-    if not text.isdecimal() or not 1 <= int(text) <= MAXIMUM_TRAIL_ROWS:
-        raise BadRequest(f"count is not a number from 1 to {MAXIMUM_TRAIL_ROWS}.")
+    """Return the number of audit records asked for; raise BadRequest."""
+    text = request.query.get("count", str(DEFAULT_AUDIT_ROWS))
+    if not text.isdecimal() or not 1 <= int(text) <= MAXIMUM_AUDIT_ROWS:
+        raise BadRequest(f"count is not a number from 1 to {MAXIMUM_AUDIT_ROWS}.")
     return int(text)
 
 
 def build_proposal(data, who):
+    """Return the proposal in a request's data; raise BadRequest or ChangeInvalid."""
     base_version, change = data.get("base_version"), data.get("change")
     if type(base_version) is not int or base_version < 0:
-        raise BadRequest("base_version is no version.")
+        raise BadRequest("base_version is not a version.")
     if not isinstance(change, str) or not 1 <= len(change) <= MAXIMUM_ID_LENGTH:
-        raise BadRequest(f"change is no id of 1 to {MAXIMUM_ID_LENGTH} characters.")
+        raise BadRequest(f"change is not an id of 1 to {MAXIMUM_ID_LENGTH} characters.")
     return Proposal(
         base_version,
         load_document(data),
@@ -239,12 +251,12 @@
 
 
 def utc_now():
-    """Return the time for people to read; nothing is decided by it."""
+    """Return the current time as text for the audit trail; no decision uses it."""
     return datetime.datetime.now(datetime.UTC).isoformat(timespec="milliseconds")
 
 
-def without_keys(document):
-    """Copy a document without the hashes of keys."""
+def copy_without_keys(document):
+    """Return a copy of a document without the hashes of keys."""
     copied = copy.deepcopy(document)
     for organisation in copied.organisations:
         organisation.keys = []
@@ -252,6 +264,7 @@
 
 
 def dump_findings(findings):
+    """Return findings as JSON values."""
     return [
         {
             "level": finding.level.name.lower(),
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/operators/client.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/operators/client.py
@@ -1,4 +1,4 @@
-"""Call the operators' API of an entry from the command line."""
+"""Call the operators' API of an entry from the commands."""
 
 import asyncio
 import json
@@ -31,7 +31,7 @@
 
 
 class ApiError(Exception):
-    """Carry the error body of an entry, or say that no answer came."""
+    """Hold the error body of an entry, or one for a missing answer."""
 
     def __init__(self, error):
         super().__init__(error["message"])
@@ -51,14 +51,15 @@
         self.headers = {"Authorization": f"Bearer {token}"}
 
     def get(self, path, **params):
-        """Return the decoded answer; raise ApiError."""
+        """Send a GET request and return the decoded answer; raise ApiError."""
         return asyncio.run(self.call("GET", path, params=params))
 
     def post(self, path, data):
-        """Send a JSON body and return the decoded answer; raise ApiError."""
+        """Send a POST request with a JSON body; return the answer or raise ApiError."""
         return asyncio.run(self.call("POST", path, json=data))
 
     async def call(self, method, path, **options):
+        """Send one request and return the decoded answer; raise ApiError."""
         timeout = aiohttp.ClientTimeout(total=TIMEOUT_SECONDS)
         try:
             async with (
@@ -75,7 +76,7 @@
 
 
 def run_command(arguments, handle):
-    """Run handle(client) and turn errors into messages and exit codes."""
+    """Call handle(client); turn errors into messages and exit codes."""
     try:
         return handle(OperatorClient(arguments))
     except ApiError as error:
@@ -87,6 +88,7 @@
 
 
 def report_error(error, *, as_json):
+    """Print an error body with its findings and the changes in conflict."""
     if as_json:
         print(json.dumps(error))
     print(error["message"], file=sys.stderr)
@@ -98,7 +100,7 @@
 
 
 def print_finding(finding):
-    """Write one finding of an entry to standard error."""
+    """Print one finding to standard error."""
     print(
         f"{finding['path']}: ({finding['id']}) {finding['message']}"
         f" Hint: {finding['hint']}",
@@ -107,5 +109,5 @@
 
 
 def read_document(path):
-    """Return the decoded JSON of a document's file."""
+    """Return the decoded JSON of a file."""
     return json.loads(pathlib.Path(path).read_text())
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/operators/console/__init__.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/operators/console/__init__.py
@@ -1,1 +1,1 @@
-"""Serve the console: forms whose only output is one validated document."""
+"""The operators' web console: forms that edit the configuration document."""
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/operators/console/drafts.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/operators/console/drafts.py
@@ -1,4 +1,4 @@
-"""Hold an operator's draft; it travels in the form, signed, and stands nowhere else."""
+"""Drafts of the document, kept only in the console's forms, signed."""
 
 import json
 import uuid
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True)
 class Draft:
-    """Hold a document under work and the version that it began from."""
+    """Hold an edited document and the version that it is based on."""
 
     base_version: int
     data: dict
@@ -24,43 +24,45 @@
     allowed: list = field(default_factory=list)
 
     def dump(self, serializer):
+        """Return the draft as signed text for a form."""
         return serializer.dumps(
             [self.base_version, self.data, self.change, self.note, self.allowed]
         )
 
     def decode(self):
-        """Build the document: Ok(Document) or Err(findings)."""
+        """Return the decoded document: Ok(Document) or Err(findings)."""
         return documents.decode(json.dumps(self.data))
 
     def read_section(self, form, section):
-        """Take the inputs of one section from a form."""
+        """Update one section of the document from a form's inputs."""
         for name, _, cls in forms.sections():
             if name == section:
                 self.data[name] = forms.read_rows(cls, form, self.data[name], name)
 
-    def findings(self, base, served):
-        """List every finding of the document and of the change to it."""
+    def findings(self, base, served_zones):
+        """Return the findings of the document and of the change from a base."""
         decoded = self.decode()
         if decoded.is_err():
             return decoded.err_value
         document = decoded.ok_value
         return documents.check_document(document) + check_change(
-            base, document, self.allowed, served
+            base, document, self.allowed, served_zones
         )
 
 
 def begin(version, document):
-    """Begin a draft from an accepted document."""
+    """Return a new draft based on an accepted document."""
     return Draft(version, schema.dump(document))
 
 
 def load(serializer, text):
-    """Read a draft back from a form; raise BadRequest when it was tampered with."""
+    """Return the draft in signed text; raise BadRequest if it was altered."""
     try:
         return Draft(*serializer.loads(text))
     except BadData as error:
-        raise BadRequest("The draft was changed on its way.") from error
+        raise BadRequest("The draft's signature is not valid.") from error
 
 
 def has_errors(findings):
+    """Return whether any finding is an error."""
     return checks.has_errors(findings)
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/operators/console/forms.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/operators/console/forms.py
@@ -1,8 +1,8 @@
-"""Make forms from the document's classes and read them back into plain JSON.
+"""Build forms from the document's classes and read them back into plain JSON.
 
-Values that don't fit their type stay as they were typed, so that the operator sees them
-again beside the finding. Keys of organisations never leave the draft: they can be
-removed or added, and what is added is hashed at once.
+Values that don't match their type stay as typed, so that the operator sees them again
+next to the finding. Forms don't show organisations' keys: keys can be removed or added,
+and an added key is hashed at once.
 """
 
 import dataclasses
@@ -22,7 +22,7 @@
 
 
 class Widget(enum.StrEnum):
-    """Name the kinds of inputs that templates know."""
+    """Define the kinds of inputs that the templates render."""
 
     TEXT = "text"
     NUMBER = "number"
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class Input:
-    """Hold one input, or a group or rows of them."""
+    """Hold one input, a group of inputs, or rows of groups."""
 
     name: str
     label: str
@@ -50,7 +50,7 @@
 
 
 def sections():
-    """Return (field name, label, class of its items) of each part of the document."""
+    """Return (field name, label, class of its items) of each document section."""
     hints = typing.get_type_hints(Document)
     return [
         (each.name, label_of(each.name), typing.get_args(hints[each.name])[0])
@@ -59,6 +59,7 @@
 
 
 def label_of(name):
+    """Return the label of a field's name."""
     return name.replace("_", " ").capitalize()
 
 
@@ -72,6 +73,7 @@
 
 
 def build_group(cls, data, prefix, path, findings):
+    """Return a group with an input for each field of a class."""
     hints = typing.get_type_hints(cls)
     group = Input(
         prefix,
@@ -83,59 +85,63 @@
     for each in dataclasses.fields(cls):
         default = schema.get_default(each)
         value = data.get(each.name, schema.dump(default))
-        made = build_input(
+        form_input = build_input(
             hints[each.name],
             None if value is schema.MISSING else value,
             f"{prefix}.{each.name}",
             f"{path}.{each.name}",
             findings,
         )
-        made.label = label_of(each.name)
-        made.help = each.metadata["help"]
-        made.required = default is schema.MISSING
-        group.parts.append(made)
+        form_input.label = label_of(each.name)
+        form_input.help = each.metadata["help"]
+        form_input.required = default is schema.MISSING
+        group.parts.append(form_input)
     return group
 
 
 def build_input(kind, value, name, path, findings):
-    made = Input(name, "", "", Widget.TEXT, value="" if value is None else value)
+    """Return the input for a value of a type."""
+    form_input = Input(name, "", "", Widget.TEXT, value="" if value is None else value)
     origin = typing.get_origin(kind)
     if origin is types.UnionType:
         kind = optional_of(kind)
     if origin is list:
-        return build_list(made, typing.get_args(kind)[0], value, path, findings)
+        return build_list(form_input, typing.get_args(kind)[0], value, path, findings)
     if dataclasses.is_dataclass(kind):
-        made.widget = Widget.GROUP
-        made.parts = build_group(kind, value or {}, name, path, findings).parts
-        return made
+        form_input.widget = Widget.GROUP
+        form_input.parts = build_group(kind, value or {}, name, path, findings).parts
+        return form_input
     if issubclass(kind, enum.Enum):
-        made.widget = Widget.CHOICE
-        made.choices = [member.value for member in kind]
+        form_input.widget = Widget.CHOICE
+        form_input.choices = [member.value for member in kind]
     elif kind is bool:
-        made.widget = Widget.FLAG
+        form_input.widget = Widget.FLAG
     elif kind in (int, float):
-        made.widget = Widget.NUMBER
-    made.findings = [each for each in findings if path and each.path == path]
-    return made
+        form_input.widget = Widget.NUMBER
+    form_input.findings = [each for each in findings if path and each.path == path]
+    return form_input
 
 
-def build_list(made, item, value, path, findings):
-    made.findings = [
+def build_list(form_input, item, value, path, findings):
+    """Set up an input for a list of items of a type and return it."""
+    form_input.findings = [
         each for each in findings if path and each.path.startswith((path, f"{path}["))
     ]
     if item is KeyHash:
-        made.widget = Widget.KEYS
+        form_input.widget = Widget.KEYS
     elif dataclasses.is_dataclass(item):
-        made.widget = Widget.ROWS
-        made.parts = build_rows(item, value or [], made.name, path, findings)
+        form_input.widget = Widget.ROWS
+        form_input.parts = build_rows(
+            item, value or [], form_input.name, path, findings
+        )
     else:
-        made.widget = Widget.LINES
-        made.value = "\n".join(str(each) for each in value or [])
-    return made
+        form_input.widget = Widget.LINES
+        form_input.value = "\n".join(str(each) for each in value or [])
+    return form_input
 
 
 def read_rows(cls, form, items, prefix):
-    """Read the items of one list back from a form; rows without a name are dropped."""
+    """Return the items of a list from a form; new rows without a name are dropped."""
     read = []
     for index in range(len(items) + 1):
         name = f"{prefix}.{index}"
@@ -148,6 +154,7 @@
 
 
 def read_group(cls, form, old, prefix):
+    """Return the JSON object of a class's fields from a form."""
     hints = typing.get_type_hints(cls)
     return {
         each.name: read_value(
@@ -158,6 +165,7 @@
 
 
 def read_value(kind, form, old, name):
+    """Return the JSON value of one field from a form."""
     origin = typing.get_origin(kind)
     text = form.get(name, "").strip()
     if origin is types.UnionType:
@@ -174,6 +182,7 @@
 
 
 def read_list(item, form, old, name):
+    """Return the items of a list field from a form."""
     if item is KeyHash:
         return read_keys(form, old, name)
     if dataclasses.is_dataclass(item):
@@ -182,6 +191,7 @@
 
 
 def read_keys(form, old, name):
+    """Return the keys without the removed ones and with the hash of a new one."""
     kept = [
         key for index, key in enumerate(old) if not form.get(f"{name}.{index}.{REMOVE}")
     ]
@@ -193,6 +203,7 @@
 
 
 def read_number(kind, text):
+    """Return the number in a text, or the text itself if it holds none."""
     try:
         return kind(text)
     except ValueError:
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/operators/console/pages.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/operators/console/pages.py
@@ -1,4 +1,4 @@
-"""Render the console's pages."""
+"""Render the console's pages and protect its handlers."""
 
 import functools
 from importlib import resources
@@ -16,7 +16,7 @@
     ("/console/fairness", "Fairness"),
     ("/console/audit", "Audit trail"),
 ]
-# No scripts at all, and nothing from elsewhere.
+# The policy allows no scripts and nothing from other origins.
 SECURITY_HEADERS = {
     "Content-Security-Policy": "default-src 'none'; style-src 'self'; img-src 'self';"
     " form-action 'self'; base-uri 'none'; frame-ancestors 'none'",
@@ -28,7 +28,7 @@
 
 
 class Pages:
-    """Render templates for one entry's console and guard its handlers."""
+    """Render templates for one entry's console and protect its handlers."""
 
     __slots__ = ("entry", "environment", "sessions")
 
@@ -44,14 +44,14 @@
         )
 
     def render(self, request, template, *, status=200, **context):
-        """Return a page."""
+        """Return the response with a rendered template."""
         account = request.get(ACCOUNT)
         text = self.environment.get_template(template).render(
             navigation=NAVIGATION if account else [],
             account=account,
             path=request.path,
             entry=self.entry,
-            csrf=self.sessions.mark(request) if account else "",
+            csrf=self.sessions.build_csrf_token(request) if account else "",
             **context,
         )
         return web.Response(
@@ -59,7 +59,7 @@
         )
 
     def protect(self, role, handler):
-        """Wrap a handler of GET: it runs for operators of this role or above."""
+        """Return a handler that requires a session of this role or above."""
 
         @functools.wraps(handler)
         async def protected(request):
@@ -75,18 +75,19 @@
         return protected
 
     def protect_form(self, role, handler):
-        """Wrap a handler of POST: the form must also carry the session's mark."""
+        """Return a POST handler that also requires the session's CSRF token."""
 
         async def checked(request):
-            # The whole document travels in the form, above the usual limit of size.
+            # The form contains the whole document, larger than the usual size limit.
             limit = self.entry.settings.maximum_body_bytes * 4
             form = await request.clone(client_max_size=limit).post()
-            self.sessions.check_mark(request, form)
+            self.sessions.check_csrf_token(request, form)
             return await handler(request, form)
 
         return self.protect(role, checked)
 
     def render_error(self, request, error):
+        """Return the page of an error, with the error's status."""
         return self.render(
             request, "error.html", status=error.status, title="Not done", error=error
         )
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/operators/console/routes.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/operators/console/routes.py
@@ -30,7 +30,7 @@
 
 
 def add_routes(application, entry):
-    """Add the console's routes; without a secret for its cookies there are none."""
+    """Add the console's routes, but only if there is a secret for its cookies."""
     if not entry.settings.console_secret:
         return
     sessions = Sessions(entry)
@@ -38,7 +38,7 @@
 
 
 class Console:
-    """Serve the console of one entry."""
+    """Handle the requests of the console of one entry."""
 
     __slots__ = ("changes", "entry", "pages", "sessions")
 
@@ -58,16 +58,18 @@
         router.add_get("/console/status", page(Role.VIEWER, self.show_status))
         router.add_get("/console/fairness", page(Role.VIEWER, self.show_fairness))
         router.add_get("/console/audit", page(Role.VIEWER, self.show_audit))
-        router.add_get("/console/edit", page(Role.OPERATOR, self.begin_draft))
+        router.add_get("/console/edit", page(Role.OPERATOR, self.show_new_draft))
         router.add_post("/console/edit", form(Role.OPERATOR, self.edit))
         router.add_post("/console/apply", form(Role.OPERATOR, self.apply))
         zone = "/console/zones/{zone}/{state:in|out}"
         router.add_get(zone, page(Role.OPERATOR, self.preview_zone))
 
     async def show_sign_in(self, request):
+        """Show the sign-in form."""
         return self.pages.render(request, "sign_in.html", title="Sign in", error=None)
 
     async def sign_in(self, request):
+        """Open a session and redirect, or show the form again with the error."""
         form = await request.post()
         response = web.Response(status=303, headers={"Location": "/console/"})
         try:
@@ -83,11 +85,13 @@
         return response
 
     async def sign_out(self, request, form):
+        """Delete the session's cookie and redirect to the sign-in form."""
         response = web.Response(status=303, headers={"Location": "/console/sign-in"})
         response.del_cookie(COOKIE, path="/console")
         return response
 
     async def show_overview(self, request):
+        """Show the versions and the zones with their capacity."""
         newest = await self.changes.newest()
         return self.pages.render(
             request,
@@ -95,22 +99,25 @@
             title="Overview",
             newest=newest,
             sums=self.entry.members.zone_sums(),
-            operates=request[ACCOUNT].role.includes(Role.OPERATOR),
+            can_operate=request[ACCOUNT].role.includes(Role.OPERATOR),
         )
 
     async def show_status(self, request):
+        """Show the members with their versions."""
         described = await status.describe(self.entry)
         return self.pages.render(
             request, "status.html", title="Status", report=described
         )
 
     async def show_fairness(self, request):
+        """Show the report of the fairness monitor."""
         report = self.entry.fairness.report(asyncio.get_running_loop().time())
         return self.pages.render(
             request, "fairness.html", title="Fairness", report=report
         )
 
     async def show_audit(self, request):
+        """Show the newest audit records and the findings of their check."""
         head, _ = await read_head(self.entry.platform)
         records = await read_audit_records(
             self.entry.platform, head.version, AUDIT_ROWS
@@ -125,13 +132,14 @@
             findings=findings,
         )
 
-    async def begin_draft(self, request):
+    async def show_new_draft(self, request):
+        """Show the first section of a new draft of the newest document."""
         newest = await self.changes.newest()
         draft = drafts.begin(newest.version, newest.document)
         return await self.show_section(request, draft, FIRST_SECTION)
 
     async def edit(self, request, form):
-        """Take one section's inputs and go where the pressed button says."""
+        """Update a section of the draft and show the page of the pressed button."""
         draft = drafts.load(self.sessions.drafts, form.get("draft", ""))
         draft.read_section(form, form.get("section", ""))
         draft.note = form.get("note", draft.note)
@@ -143,6 +151,7 @@
         return await self.show_section(request, draft, go if go in known else here)
 
     async def show_section(self, request, draft, section):
+        """Show the form of one section with the draft's findings."""
         base = await self.base_document(draft)
         findings = draft.findings(base, self.entry.served_zones())
         cls = next(each for name, _, each in forms.sections() if name == section)
@@ -162,6 +171,7 @@
         )
 
     async def show_review(self, request, draft, *, code=200):
+        """Show the draft's changes and findings before it is applied."""
         base = await self.base_document(draft)
         findings = draft.findings(base, self.entry.served_zones())
         decoded = draft.decode()
@@ -180,7 +190,7 @@
         )
 
     async def base_document(self, draft):
-        """Return the accepted document that a draft began from."""
+        """Return the accepted document that a draft is based on."""
         newest = await self.changes.newest()
         if newest.version == draft.base_version:
             return newest.document
@@ -191,7 +201,7 @@
         return await ChangeApplier(self.entry.platform).read_document(record.after)
 
     async def apply(self, request, form):
-        """Apply a draft; show both sides of a race, or what is not known."""
+        """Apply a draft; show the version, findings, a conflict or unknown outcome."""
         draft = drafts.load(self.sessions.drafts, form.get("draft", ""))
         draft.note = form.get("note", draft.note)
         draft.allowed = [word for word in Allowance if form.get(word)]
@@ -228,7 +238,7 @@
         )
 
     async def show_race(self, request, draft, mine, error):
-        """Show both changes and offer them merged, with either side's word on top."""
+        """Show both conflicting changes and offer merges that prefer either side."""
         base = await self.base_document(draft)
         newest = await self.changes.newest()
         merged, conflicts = merge(base, mine, newest.document)
@@ -250,7 +260,7 @@
         )
 
     async def preview_zone(self, request):
-        """Show what taking a zone out or in does, ready to be applied."""
+        """Show the effect of taking a zone out or in, with a form to apply it."""
         name, state = request.match_info["zone"], request.match_info["state"]
         newest = await self.changes.newest()
         draft = drafts.begin(newest.version, newest.document)
@@ -265,17 +275,17 @@
             title=f"Take {name} {state}",
             name=name,
             state=state,
-            lines=preview_lines(newest.document, self.entry, name, state),
+            lines=compare_capacity(newest.document, self.entry, name, state),
             findings=findings,
             allowances=list(Allowance),
-            needs_word=any(each.id.startswith("change.") for each in findings),
+            needs_allowance=any(each.id.startswith("change.") for each in findings),
             draft=draft,
             signed=draft.dump(self.sessions.drafts),
         )
 
 
-class PreviewLine:
-    """Compare a service's capacity before and after a zone's change of state."""
+class CapacityComparison:
+    """Hold a service's capacity before and after a zone's change of state."""
 
     __slots__ = ("after", "before", "running", "service")
 
@@ -287,12 +297,12 @@
 
     @property
     def enough(self):
-        """Tell whether what runs now fits into the capacity left."""
+        """Return whether the requests running now fit into the capacity after it."""
         return self.running <= self.after
 
 
-def preview_lines(document, entry, name, state):
-    """Return a line for each service; capacities are as last heard."""
+def compare_capacity(document, entry, name, state):
+    """Return the capacity comparison of each service, from the latest zone sums."""
     sums = entry.members.zone_sums()
     inside = {zone.name for zone in document.zones if zone.state is ZoneState.IN}
     planned = inside | {name} if state == ZoneState.IN else inside - {name}
@@ -306,5 +316,5 @@
         before = sum(line.limit for zone, line in by_zone.items() if zone in inside)
         after = sum(line.limit for zone, line in by_zone.items() if zone in planned)
         running = sum(line.running for line in by_zone.values())
-        lines.append(PreviewLine(service.name, before, after, running))
+        lines.append(CapacityComparison(service.name, before, after, running))
     return lines
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/operators/console/sessions.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/operators/console/sessions.py
@@ -1,4 +1,4 @@
-"""Keep operators signed in by signed cookies, so that any entry knows them."""
+"""Keep operators signed in with signed cookies, which any entry can verify."""
 
 import hashlib
 import secrets
@@ -17,24 +17,24 @@
 
 
 class Sessions:
-    """Sign cookies, drafts and form marks with the console's secret."""
+    """Sign cookies, drafts and CSRF tokens with the console's secret."""
 
-    __slots__ = ("cookies", "drafts", "entry", "marks")
+    __slots__ = ("cookies", "csrf_serializer", "drafts", "entry")
 
     def __init__(self, entry):
         secret = entry.settings.console_secret
         self.entry = entry
         self.cookies = URLSafeTimedSerializer(secret, salt="session")
-        self.marks = URLSafeSerializer(secret, salt="csrf")
+        self.csrf_serializer = URLSafeSerializer(secret, salt="csrf")
         self.drafts = URLSafeSerializer(secret, salt="draft")
 
     def open(self, request, response, token):
-        """Sign an operator in; raise NotSignedIn or TooManySignIns."""
+        """Set a session cookie; raise NotSignedIn or TooManySignIns."""
         account = sign_in(self.entry, request, token)
         session = {
             "id": secrets.token_urlsafe(16),
             "name": account.name,
-            "token": fingerprint(used_hash(account, token)),
+            "token": fingerprint(find_matching_hash(account, token)),
         }
         response.set_cookie(
             COOKIE,
@@ -47,7 +47,7 @@
         )
 
     def authenticate(self, request):
-        """Put the session and the account into the request; raise NotSignedIn."""
+        """Set the request's session and account; raise NotSignedIn."""
         try:
             session = self.cookies.loads(
                 request.cookies.get(COOKIE, ""), max_age=SESSION_SECONDS
@@ -55,35 +55,40 @@
         except BadData as error:
             raise NotSignedIn("There is no valid session.") from error
         for account in self.entry.settings.operators:
-            # A token that was taken away ends the sessions that it opened.
-            known = {fingerprint(each) for each in account.tokens}
-            if account.name == session["name"] and session["token"] in known:
+            # Removing a token ends the sessions that were opened with it.
+            valid_fingerprints = {fingerprint(each) for each in account.tokens}
+            if (
+                account.name == session["name"]
+                and session["token"] in valid_fingerprints
+            ):
                 request[ACCOUNT] = account
                 request[SESSION] = session
                 return
         raise NotSignedIn("The session's token is no longer valid.")
 
-    def mark(self, request):
-        """Return the mark that forms of this session carry."""
-        return self.marks.dumps(request[SESSION]["id"])
+    def build_csrf_token(self, request):
+        """Return the CSRF token for forms of this session."""
+        return self.csrf_serializer.dumps(request[SESSION]["id"])
 
-    def check_mark(self, request, form):
-        """Refuse a form that another site made the operator's browser send."""
+    def check_csrf_token(self, request, form):
+        """Raise FormRefused if the form was not rendered for this session (CSRF)."""
         try:
-            session_id = self.marks.loads(form.get(CSRF_FIELD, ""))
+            session_id = self.csrf_serializer.loads(form.get(CSRF_FIELD, ""))
         except BadData as error:
-            raise FormRefused("The form carries no valid mark.") from error
+            raise FormRefused("The form has no valid CSRF token.") from error
         if session_id != request[SESSION]["id"]:
             raise FormRefused("The form belongs to another session.")
 
     def check_role(self, request, role):
+        """Raise NotAllowed if the request's account does not include a role."""
         check_role(request[ACCOUNT], role)
 
 
-def used_hash(account, token):
+def find_matching_hash(account, token):
+    """Return the hash among an account's tokens that matches a token."""
     return next(each for each in account.tokens if each.matches(token))
 
 
 def fingerprint(key_hash):
-    """Name a token's hash without telling it."""
+    """Return a digest that identifies a token's hash without revealing it."""
     return hashlib.sha256(f"{key_hash.salt}/{key_hash.sha256}".encode()).hexdigest()
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/operators/fairness.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/operators/fairness.py
@@ -1,4 +1,4 @@
-"""Show operators whether organisations are served alike."""
+"""Serve the report of the fairness monitor to operators."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 
 
 def add_routes(application, entry):
-    """Add the route of the fairness watch."""
+    """Add the route of the fairness report."""
 
     async def show(_):
         now = asyncio.get_running_loop().time()
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/operators/keys.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/operators/keys.py
@@ -1,4 +1,4 @@
-"""Show operators what the platform's table holds of an idempotency key."""
+"""Serve the stored claim of an idempotency key to operators."""
 
 from aiohttp import web
 
@@ -25,7 +25,7 @@
 
 
 def add_routes(application, entry):
-    """Add the route of keys."""
+    """Add the route that looks up idempotency keys."""
 
     async def show(request):
         names = [request.query.get(name, "") for name in PARAMETERS]
@@ -42,7 +42,7 @@
 
 
 def describe_claim(claim):
-    """Return a claim without the answer's content, which is the caller's alone."""
+    """Return a claim as JSON values, without the answer's body (private data)."""
     described = {
         "state": claim.state.value,
         "meaning": MEANINGS[claim.state],
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/operators/requests.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/operators/requests.py
@@ -1,4 +1,4 @@
-"""Show operators what became of a request."""
+"""Serve the traces of requests to operators."""
 
 from aiohttp import web
 
@@ -11,7 +11,7 @@
 
 
 def add_routes(application, entry):
-    """Add the routes of traces."""
+    """Add the routes that list and show traces."""
     router = application.router
     traces = entry.traces
 
@@ -21,19 +21,17 @@
             raise UnknownRequest(f"{entry.settings.name} holds no such request.")
         return web.json_response({"entry": entry.settings.name} | schema.dump(trace))
 
-    async def list_notable(request):
+    async def list_kept(request):
         organisation = request.query.get("organisation", "")
         found = traces.recent(MAXIMUM_LISTED, organisation)
-        return web.json_response({"requests": [summary(trace) for trace in found]})
+        return web.json_response({"requests": [summarise(trace) for trace in found]})
 
-    router.add_get(
-        "/operators/requests", require_role(entry, Role.VIEWER, list_notable)
-    )
+    router.add_get("/operators/requests", require_role(entry, Role.VIEWER, list_kept))
     router.add_get("/operators/requests/{id}", require_role(entry, Role.VIEWER, show))
 
 
-def summary(trace):
-    """Return a trace's line in a list."""
+def summarise(trace):
+    """Return the summary of a trace for a list."""
     return {
         "request_id": trace.request_id,
         "organisation": trace.organisation,
@@ -46,7 +44,7 @@
 
 
 def describe(data):
-    """Return the lines that tell a reader where a request waited and why."""
+    """Yield lines of text that show where a request waited and why."""
     budget = data["budget"]
     yield f"request {data['request_id']} at entry {data['entry']}"
     yield (
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/operators/routes.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/operators/routes.py
@@ -19,5 +19,6 @@
 
 
 async def show_account(request):
+    """Answer with the name and the role of the operator who asks."""
     account = request[ACCOUNT]
     return web.json_response({"name": account.name, "role": account.role})
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/operators/status.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/operators/status.py
@@ -1,4 +1,4 @@
-"""Tell operators who runs which version and who is silent."""
+"""Serve the status: versions in force, zones out of service, silent members."""
 
 from aiohttp import web
 
@@ -21,7 +21,7 @@
 
 
 async def describe(entry):
-    """Return the status as this entry sees it."""
+    """Return the status as seen by this entry."""
     try:
         head = (await read_head(entry.platform))[0].version
     except StoreUnavailable:
@@ -30,7 +30,7 @@
         "entry": entry.settings.name,
         "zone": entry.settings.zone,
         "in_force": entry.configuration.version,
-        # None while the platform gives no answer.
+        # None while the platform does not answer.
         "accepted": head,
         "zones_out": sorted(entry.configuration.zones_out),
         "members": [schema.dump(member) for member in entry.describe_members()],
