--- a/packages/fescuedrum-entry/src/fescuedrum_entry/commands/__init__.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/commands/__init__.py
@@ -1,1 +1,1 @@
-"""Hold one module for each command."""
+"""The commands of fescuedrum, one module each."""
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/commands/apply.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/commands/apply.py
@@ -20,15 +20,19 @@
             "--base-version",
             type=int,
             required=True,
-            help="version that the document was made from, as show config tells",
+            help="version that the document is based on, as printed by show config",
         )
         parser.add_argument(
-            "--change", help="id of the change; give it again to repeat it safely"
+            "--change",
+            help="id of the change; a retry with the same id applies it once only",
         )
         parser.add_argument(
-            "--allow", action="append", default=[], help="word that allows a harm"
+            "--allow",
+            action="append",
+            default=[],
+            help="allowance for one harmful effect",
         )
-        parser.add_argument("--note", default="", help="why, for the audit trail")
+        parser.add_argument("--note", default="", help="reason, for the audit trail")
         add_entry_arguments(parser)
 
     def handle(self, arguments):
@@ -36,6 +40,7 @@
 
 
 def apply(client, arguments):
+    """Send the change to the entry and print the accepted version."""
     data = {
         "base_version": arguments.base_version,
         "document": read_document(arguments.document),
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/commands/audit.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/commands/audit.py
@@ -1,4 +1,4 @@
-"""Show the audit trail and check that it has no gap."""
+"""Show the audit trail and check it for gaps."""
 
 import json
 
@@ -22,6 +22,7 @@
 
 
 def show(client, arguments):
+    """Print audit records and findings; return the exit code."""
     answer = client.get("audit", count=arguments.count)
     if arguments.json:
         print(json.dumps(answer))
@@ -34,6 +35,7 @@
 
 
 def print_record(record):
+    """Print an audit record with its allowances and changes."""
     note = f" ({record['note']})" if record["note"] else ""
     print(f"{record['version']}  {record['when']}  {record['who']}{note}")
     for word in record["allowed"]:
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/commands/check.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/commands/check.py
@@ -17,19 +17,24 @@
 
 
 class Command:
-    help = "check a configuration document and list every fault"
+    help = "check a configuration document and list every error"
 
     def add_arguments(self, parser):
         parser.add_argument("document", help="file of the document (JSON)")
         parser.add_argument(
-            "--allow", action="append", default=[], help="word that allows a harm"
+            "--allow",
+            action="append",
+            default=[],
+            help="allowance for one harmful effect",
         )
         add_entry_arguments(parser, required=False)
 
     def handle(self, arguments):
-        """Check alone, or with --entry also as a change of what is in force."""
+        """Check the document; with --entry, also the change from the newest one."""
         if arguments.entry:
-            return run_command(arguments, lambda client: ask(client, arguments))
+            return run_command(
+                arguments, lambda client: check_at_entry(client, arguments)
+            )
         try:
             body = pathlib.Path(arguments.document).read_bytes()
         except OSError as error:
@@ -42,12 +47,14 @@
         return report(dump_findings(findings), arguments)
 
 
-def ask(client, arguments):
+def check_at_entry(client, arguments):
+    """Let an entry check the document and print the findings."""
     data = {"document": read_document(arguments.document), "allowed": arguments.allow}
     return report(client.post("check", data)["findings"], arguments)
 
 
 def report(findings, arguments):
+    """Print findings and return the exit code."""
     if arguments.json:
         print(json.dumps(findings))
     for finding in findings:
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/commands/diff.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/commands/diff.py
@@ -1,4 +1,4 @@
-"""Say in words how a document differs from the newest accepted one."""
+"""Show how a document differs from the newest accepted one."""
 
 import json
 
@@ -11,7 +11,7 @@
 
 
 class Command:
-    help = "say in words how a document differs from the newest accepted one"
+    help = "show in words how a document differs from the newest accepted one"
 
     def add_arguments(self, parser):
         parser.add_argument("document", help="file of the document (JSON)")
@@ -22,6 +22,7 @@
 
 
 def compare(client, arguments):
+    """Print the changes from the newest accepted document."""
     data = {"document": read_document(arguments.document)}
     answer = client.post("diff", data)
     if arguments.json:
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/commands/explain.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/commands/explain.py
@@ -1,4 +1,4 @@
-"""Say how a request ended and why, from the logs of several processes."""
+"""Show how a request ended and why, from the logs of several processes."""
 
 import sys
 
@@ -7,7 +7,7 @@
 
 
 class Command:
-    help = "say how a request ended and why, from the logs of several processes"
+    help = "show how a request ended and why, from the logs of several processes"
 
     def add_arguments(self, parser):
         parser.add_argument("request", help="the request's id")
@@ -25,7 +25,7 @@
         if explanation is None:
             print(
                 f"No line names {arguments.request}. Give the logs of all gateways of"
-                " the time; 'lines left out' tells of lines that were dropped.",
+                " the time; 'lines left out' reports dropped lines.",
                 file=sys.stderr,
             )
             return EXIT_FINDINGS
@@ -34,7 +34,7 @@
 
 
 def read_lines(path):
-    """Return the log lines of a file; what is no log line is passed over."""
+    """Return the log lines of a file or of standard input; skip other lines."""
     if path == "-":
         return parse_all(sys.stdin)
     with open(path, encoding="utf-8", errors="replace") as file:
@@ -42,14 +42,16 @@
 
 
 def parse_all(texts):
+    """Return the parsed log lines among texts."""
     return [line for line in map(parse_line, texts) if line is not None]
 
 
 def print_explanation(explanation):
+    """Print a request's log lines, related state changes and the conclusion."""
     for line in explanation.lines:
         print(line.describe())
     if explanation.state_changes:
-        print("\nwhat processes came to believe around it:")
+        print("\nstate changes in the processes at that time:")
     for line in explanation.state_changes:
         print(line.describe())
     print(f"\n{explanation.conclusion}")
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/commands/fairness.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/commands/fairness.py
@@ -1,4 +1,4 @@
-"""Show whether organisations are served alike, and who is not."""
+"""Show the fairness report: which organisations are served worse than others."""
 
 import json
 
@@ -9,7 +9,7 @@
 
 
 class Command:
-    help = "show what each organisation received; fails while one is served worse"
+    help = "show what each organisation received; fails if one is served worse"
 
     def add_arguments(self, parser):
         add_entry_arguments(parser)
@@ -19,6 +19,7 @@
 
 
 def show(client, arguments):
+    """Print the fairness report; return the exit code."""
     report = client.get("fairness")
     if arguments.json:
         print(json.dumps(report))
@@ -28,7 +29,7 @@
 
 
 def lines(report):
-    """Return the lines of the page, findings first."""
+    """Yield the lines of the report, findings first."""
     if not report["findings"]:
         yield f"{report['entry']}: no organisation is served worse than its peers."
     for finding in report["findings"]:
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/commands/serve.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/commands/serve.py
@@ -12,8 +12,8 @@
   docs/settings-entry.md lists every field.
 
 signals:
-  SIGTERM, SIGINT  turn /readyz down, let running requests end, stop with code 0
-  SIGHUP           load renewed certificates at once
+  SIGTERM, SIGINT  fail /readyz, wait for running requests, exit with code 0
+  SIGHUP           reload certificates at once
 
 first steps:
   fescuedrum serve --settings entry.json --check-settings
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/commands/show.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/commands/show.py
@@ -1,4 +1,4 @@
-"""Show what an entry holds."""
+"""Show the configuration, a request or an idempotency key at an entry."""
 
 import json
 from collections.abc import Callable
@@ -22,7 +22,7 @@
 
 
 def show_config(client, arguments):
-    """Print the newest accepted document, ready for a file."""
+    """Print the newest accepted document as JSON."""
     answer = client.get("configuration")
     shown = answer if arguments.json else answer["document"]
     print(json.dumps(shown, indent=2))
@@ -42,6 +42,7 @@
 
 
 def list_requests(client, arguments):
+    """Print the requests that went wrong, one a line."""
     answer = client.get("requests")
     if arguments.json:
         print(json.dumps(answer))
@@ -55,7 +56,7 @@
 
 
 def show_key(client, arguments):
-    """Print what became of the request under an idempotency key."""
+    """Print the state of the request with an idempotency key."""
     answer = client.get(
         "keys",
         organisation=arguments.organisation,
@@ -74,7 +75,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Argument:
-    """Describe what stands after the kind on the command line."""
+    """Describe a positional argument after the kind on the command line."""
 
     name: str
     help: str
@@ -83,7 +84,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Kind:
-    """Describe something that can be shown; others add theirs to KINDS."""
+    """Describe a kind of object to show; other packages can add to KINDS."""
 
     help: str
     handle: Callable
@@ -93,7 +94,7 @@
 KINDS = {
     "config": Kind("the newest accepted document", show_config),
     "request": Kind(
-        "where a request waited, and why it went where it went",
+        "where a request waited, and why it was routed as it was",
         show_request,
         (
             Argument(
@@ -104,7 +105,7 @@
         ),
     ),
     "key": Kind(
-        "what became of the request under an idempotency key",
+        "the state of the request with an idempotency key",
         show_key,
         (
             Argument("organisation", "organisation that sent it"),
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/commands/status.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/commands/status.py
@@ -1,4 +1,4 @@
-"""Show who runs which version and who is silent."""
+"""Show the members' versions and which members are silent."""
 
 import json
 
@@ -7,7 +7,7 @@
 
 
 class Command:
-    help = "show who runs which version and who is silent; fails while anyone lags"
+    help = "show members' versions and silent members; fails while any is behind"
 
     def add_arguments(self, parser):
         add_entry_arguments(parser)
@@ -17,6 +17,7 @@
 
 
 def show(client, arguments):
+    """Print the status; return a failure if a member is silent or behind."""
     status = client.get("status")
     if arguments.json:
         print(json.dumps(status))
@@ -29,13 +30,16 @@
 
 
 def print_status(status):
+    """Print the versions, the zones out of service and the members."""
     accepted = status["accepted"]
-    told = "not known, the platform gives no answer" if accepted is None else accepted
-    print(f"accepted: {told}")
+    accepted_text = (
+        "not known, the platform does not answer" if accepted is None else accepted
+    )
+    print(f"accepted: {accepted_text}")
     print(f"{status['entry']} in {status['zone']}: {status['in_force']}")
     for zone in status["zones_out"]:
         print(f"{zone} is out of service")
     for member in status["members"]:
         state = "silent" if member["silent"] else member["state"]
-        where = f"{member['name']} in {member['zone']}"
-        print(f"{where}: {member['version']} ({member['role']}, {state})")
+        location = f"{member['name']} in {member['zone']}"
+        print(f"{location}: {member['version']} ({member['role']}, {state})")
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/conf.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/conf.py
@@ -22,25 +22,28 @@
     platform_url: str = setting(help="Base URL of the platform's services.")
     maximum_body_bytes: int = setting(
         4 * 1024 * 1024,
-        help="Largest body taken from a caller; a frame must hold it and its head.",
+        help="Largest body accepted from a caller; a frame must hold it and its head.",
         minimum=1,
         maximum=7 * 1024 * 1024,
         unit="B",
     )
     body_seconds: float = setting(
-        30.0, help="Longest time for a caller's body.", minimum=0.05, unit="s"
+        30.0, help="Longest time to receive a caller's body.", minimum=0.05, unit="s"
     )
     idle_seconds: float = setting(
-        75.0, help="Longest time a caller may send no request.", minimum=0.1, unit="s"
+        75.0,
+        help="Longest time a caller's connection may be idle.",
+        minimum=0.1,
+        unit="s",
     )
     maximum_header_bytes: int = setting(
-        8190, help="Longest line of a caller's head.", minimum=256, unit="B"
+        8190, help="Longest header line accepted from a caller.", minimum=256, unit="B"
     )
     maximum_header_count: int = setting(
-        100, help="Most headers taken from a caller.", minimum=8
+        100, help="Most headers accepted from a caller.", minimum=8
     )
     default_deadline_seconds: float = setting(
-        30.0, help="Deadline of a request that names none.", minimum=0.001, unit="s"
+        30.0, help="Deadline of a request without one.", minimum=0.001, unit="s"
     )
     heartbeat_seconds: float = setting(
         0.5, help="Time between heartbeats to agents.", minimum=0.05, unit="s"
@@ -53,13 +56,13 @@
     )
     fairness_seconds: float = setting(
         10.0,
-        help="Time between judgements of the fairness watch.",
+        help="Time between evaluations of the fairness monitor.",
         minimum=0.1,
         unit="s",
     )
     endpoint_wait_seconds: float = setting(
         5.0,
-        help="Longest wait for an endpoint when none may get work.",
+        help="Longest wait for an endpoint when none is eligible.",
         minimum=0.0,
         unit="s",
     )
@@ -67,11 +70,11 @@
         1000, help="Calls that may wait for an endpoint at the same time.", minimum=0
     )
     routing_policy: RoutingPolicy = setting(
-        RoutingPolicy.ADAPTIVE, help="adaptive; others only to compare with."
+        RoutingPolicy.ADAPTIVE, help="adaptive; others are baselines for comparisons."
     )
     notice_seconds: float = setting(
         5.0,
-        help="Time at a stop for the balancer to see /readyz; callers are served on.",
+        help="Time at a stop for the balancer to see /readyz; callers are served then.",
         minimum=0.0,
         unit="s",
     )
@@ -86,20 +89,23 @@
         0, help="Port for other entries; 0 for none.", minimum=0, maximum=65535
     )
     seeds: list[Seed] = setting(
-        list, help="Entries of the zone to start from when the platform is out."
+        list, help="Entries of the zone to start from when the platform is down."
     )
     console_secret: str = setting(
         "", help="Secret that signs the console's cookies; without it, no console."
     )
     operators: list[Account] = setting(list, help="Operators who may sign in here.")
     claim_group_seconds: float = setting(
-        0.005, help="Least time between writes of claims.", minimum=0.0, unit="s"
+        0.005, help="Minimum time between writes of claims.", minimum=0.0, unit="s"
     )
     claim_bucket_seconds: float = setting(
-        600.0, help="Length of the buckets of claims' ages.", minimum=0.1, unit="s"
+        600.0,
+        help="Length of the buckets that count claims' ages.",
+        minimum=0.1,
+        unit="s",
     )
     claim_buckets_kept: int = setting(
-        144, help="Whole buckets for which keys are kept at least.", minimum=7
+        144, help="Whole buckets for which keys are kept at minimum.", minimum=7
     )
     fence_patience_seconds: float = setting(
         0.25,
@@ -111,7 +117,7 @@
         "", help="Protocol step at which the process kills itself; for tests only."
     )
     trace_count: int = setting(
-        2000, help="Requests kept for operators to look up, of each kind.", minimum=1
+        2000, help="Requests of each kind kept for operators to look up.", minimum=1
     )
     trace_slow_seconds: float = setting(
         5.0, help="Time from which a request is kept as slow.", minimum=0.0, unit="s"
@@ -120,7 +126,8 @@
         None, help="Certificate and key shown to callers; without it, plain HTTP."
     )
     peer_keys: list[PeerKey] = setting(
-        list, help="Keys that entries and agents prove; the first is used to prove."
+        list,
+        help="Keys shared by entries and agents; the first is used to prove identity.",
     )
     peer_tls: TlsFiles | None = setting(
         None, help="Certificate, key and authority for entry-agent connections."
@@ -131,7 +138,7 @@
     log_level: str = setting("INFO", help="Lowest level that is logged.")
 
     def check(self):
-        """Return the findings across fields."""
+        """Return the findings that concern several fields or a field's format."""
         return [
             *rules.check_address("$.host", self.host),
             *rules.check_url("$.platform_url", self.platform_url),
--- a/packages/fescuedrum-entry/src/fescuedrum_entry/management.py
+++ b/packages/fescuedrum-entry/src/fescuedrum_entry/management.py
@@ -1,4 +1,4 @@
-"""Start the fescuedrum binary."""
+"""Entry point of the fescuedrum command."""
 
 import sys
 
