--- a/tests/unit/test_fairness.py
+++ b/tests/unit/test_fairness.py
@@ -1,4 +1,4 @@
-"""Check that unequal treatment is found, named and cleared, and chance is not."""
+"""Check that the monitor reports and clears unequal treatment, but not chance."""
 
 import random
 
@@ -15,6 +15,7 @@
 
 
 def observe_fair(chooser, organisation, **changes):
+    """Return an observation drawn alike for all organisations, with changes."""
     zone = chooser.choice(ZONES)
     # A long tail, and one endpoint in six twice as slow for everyone.
     slow = 2.0 if chooser.random() < 1 / 6 else 1.0
@@ -37,46 +38,50 @@
     return Observation(**values | changes)
 
 
-def judge_all(watch, now):
-    interval = watch.close_interval()
+def evaluate_all(monitor, now):
+    """Close the monitor's interval and return the findings of all organisations."""
+    interval = monitor.close_interval()
     return [
         finding
         for name in interval.organisations
-        for finding in watch.evaluate(name, interval, now)
+        for finding in monitor.evaluate(name, interval, now)
     ]
 
 
-def run_intervals(chooser, plant, intervals=INTERVALS, watch=None):
-    """Return (watch, findings); plant(chooser, organisation) builds an observation."""
-    watch = watch or FairnessMonitor()
+def run_intervals(chooser, build_observation, intervals=INTERVALS, monitor=None):
+    """Return (monitor, findings) after intervals of built observations."""
+    monitor = monitor or FairnessMonitor()
     findings = []
     for step in range(intervals):
         for name in ORGANISATIONS:
             # Sizes differ twentyfold between organisations.
             for _ in range(12 + 2 * ORGANISATIONS.index(name)):
-                watch.observe(plant(chooser, name))
-        findings += judge_all(watch, float(step))
-    return watch, findings
+                monitor.observe(build_observation(chooser, name))
+        findings += evaluate_all(monitor, float(step))
+    return monitor, findings
 
 
 @pytest.mark.parametrize("first", range(0, 100, 10))
 def test_a_hundred_fair_runs_raise_nothing(first):
-    """Runs are long enough for each measure: waits need twenty bad intervals."""
+    """Guard against findings by chance.
+
+    Runs are long enough for each measure: waits need twenty bad intervals.
+    """
     for seed in range(first, first + 10):
         _, findings = run_intervals(random.Random(seed), observe_fair)
         assert not findings, seed
 
 
 def test_fair_service_through_a_full_queue_raises_nothing():
-    """Ten organisations of unlike burstiness share a gate that is full half the time.
+    """Guard against findings caused by the bursts of organisations at a full gate.
 
-    Waits inside an organisation's burst hang together; a test that took each answer
-    for independent evidence would call its waits unfair.
+    Waits within one burst are correlated. A statistic that treats each answer as
+    independent evidence would report them as unfair.
     """
     for seed in range(5):
         chooser = random.Random(seed)
         endpoint = Endpoint(build_gate(queue=FairQueue(), floor=8, ceiling=8))
-        watch, findings = FairnessMonitor(), []
+        monitor, findings = FairnessMonitor(), []
         for step in range(60):
             until = endpoint.now + 10.0
             while endpoint.now < until:
@@ -84,15 +89,16 @@
                 name = chooser.choice(ORGANISATIONS)
                 for _ in range(chooser.choice([1, 1, 1, 5])):
                     endpoint.offer(name, 1.0, patience=20.0)
-            report_ends(endpoint, watch)
-            findings += judge_all(watch, float(step))
+            report_ends(endpoint, monitor)
+            findings += evaluate_all(monitor, float(step))
         assert not findings
 
 
-def report_ends(endpoint, watch):
+def report_ends(endpoint, monitor):
+    """Observe the endpoint's finished and refused work and clear both lists."""
     for work, end, cost in endpoint.finished:
         wait = end - cost - work.arrived
-        watch.observe(
+        monitor.observe(
             Observation(
                 work.organisation,
                 "advice",
@@ -106,15 +112,15 @@
             )
         )
     for work in endpoint.refused:
-        watch.observe(
+        monitor.observe(
             Observation(work.organisation, "advice", 1, work.cost, False, True)
         )
     endpoint.finished.clear()
     endpoint.refused.clear()
 
 
-def slow_zone(chooser, organisation):
-    """A zone serves one organisation three times slower."""
+def slow_in_one_zone(chooser, organisation):
+    """Observe one organisation served three times slower in one zone."""
     seen = observe_fair(chooser, organisation)
     if organisation == "club-4" and seen.zone == "zone-2":
         slower = seen.wait + (seen.first_token - seen.wait) * 3
@@ -129,82 +135,86 @@
     return seen
 
 
-def passed_over(chooser, organisation):
-    """A queue makes one organisation wait twice as long."""
+def longer_queue_wait(chooser, organisation):
+    """Observe one organisation waiting twice as long in a queue."""
     seen = observe_fair(chooser, organisation)
     if organisation != "club-4":
         return seen
     return observe_fair(chooser, organisation, wait=2 * seen.wait, first_token=9.0)
 
 
-def refused_thrice(chooser, organisation):
-    """One organisation within its share is refused thrice as often as others."""
+def refused_three_times_as_often(chooser, organisation):
+    """Observe one organisation within its share refused three times as often."""
     often = 0.15 if organisation == "club-4" else 0.05
     refused = chooser.random() < often
     return observe_fair(chooser, organisation, refused=refused, answered=not refused)
 
 
-def refused_more(chooser, organisation):
-    """One organisation within its share is refused five times as often as others."""
+def refused_five_times_as_often(chooser, organisation):
+    """Observe one organisation within its share refused five times as often."""
     often = 0.25 if organisation == "club-4" else 0.05
     refused = chooser.random() < often
     return observe_fair(chooser, organisation, answered=not refused, refused=refused)
 
 
-def sent_to_the_cold(chooser, organisation):
-    """A placement sends one organisation to endpoints that are still cold."""
+def sent_to_cold_endpoints(chooser, organisation):
+    """Observe one organisation sent to cold endpoints more often."""
     often = 0.08 if organisation == "club-4" else 0.02
     return observe_fair(chooser, organisation, cold=chooser.random() < often)
 
 
 @pytest.mark.parametrize(
-    ("plant", "measure", "decision"),
+    ("build_observation", "measure", "decision"),
     [
-        (slow_zone, Measure.TOTAL, Decision.ROUTING),
-        (passed_over, Measure.WAIT, Decision.QUEUE),
-        (refused_more, Measure.REFUSED, Decision.ADMISSION),
-        (sent_to_the_cold, Measure.COLD, Decision.ROUTING),
+        (slow_in_one_zone, Measure.TOTAL, Decision.ROUTING),
+        (longer_queue_wait, Measure.WAIT, Decision.QUEUE),
+        (refused_five_times_as_often, Measure.REFUSED, Decision.ADMISSION),
+        (sent_to_cold_endpoints, Measure.COLD, Decision.ROUTING),
     ],
 )
-def test_a_planted_bias_is_found_named_and_cleared(plant, measure, decision):
-    """The most loyal customer's work is quietly treated worse; all averages look well.
+def test_an_injected_bias_is_reported_with_its_cause_and_cleared(
+    build_observation, measure, decision
+):
+    """Guard against one organisation being served worse without any visible sign.
 
-    Nothing fails and nobody else notices; without a watch the customer just leaves.
+    No request fails and overall averages stay normal, so only the monitor shows it.
     """
     chooser = random.Random(8)
-    watch, _ = run_intervals(chooser, plant)
-    found = {each.measure: each for each in watch.findings()}
-    assert {each.organisation for each in watch.findings()} == {"club-4"}
+    monitor, _ = run_intervals(chooser, build_observation)
+    found = {each.measure: each for each in monitor.findings()}
+    assert {each.organisation for each in monitor.findings()} == {"club-4"}
     assert found[measure].decision is decision
     assert found[measure].own > found[measure].peers * 1.2
     assert "club-4" in str(found[measure])
-    if plant is slow_zone:
+    if build_observation is slow_in_one_zone:
         assert found[measure].common == "endpoint zone-2-engine"
-    run_intervals(chooser, observe_fair, watch=watch)
-    assert watch.findings() == []
+    run_intervals(chooser, observe_fair, monitor=monitor)
+    assert monitor.findings() == []
 
 
-def test_a_threefold_share_of_refusals_is_found_in_twice_the_intervals():
-    """A smaller wrong than the planted ones takes longer to tell from chance."""
-    watch, _ = run_intervals(random.Random(8), refused_thrice, 2 * INTERVALS)
-    found = [each for each in watch.findings() if each.measure is Measure.REFUSED]
+def test_three_times_the_refusals_are_reported_within_twice_the_intervals():
+    """Guard against missing a smaller bias, which takes longer to tell from chance."""
+    monitor, _ = run_intervals(
+        random.Random(8), refused_three_times_as_often, 2 * INTERVALS
+    )
+    found = [each for each in monitor.findings() if each.measure is Measure.REFUSED]
     assert [each.organisation for each in found] == ["club-4"]
 
 
-def test_refusals_of_whoever_asks_too_much_are_no_unfairness():
-    """One organisation sends ten times its share and is refused for that."""
+def test_refusals_of_an_organisation_over_its_share_are_not_reported():
+    """Guard against findings for refusals that an organisation's own demand causes."""
 
     chooser = random.Random(2)
-    watch = FairnessMonitor()
+    monitor = FairnessMonitor()
     for step in range(INTERVALS):
         for name in ORGANISATIONS * 15:
-            watch.observe(observe_fair(chooser, name))
+            monitor.observe(observe_fair(chooser, name))
         for index in range(150):
             refused = index >= 15
             seen = observe_fair(
                 chooser, "hot", answered=not refused, refused=refused, wait=2.0
             )
-            watch.observe(seen)
-        judge_all(watch, float(step))
+            monitor.observe(seen)
+        evaluate_all(monitor, float(step))
     of_demand = {Measure.WAIT, Measure.REFUSED}
-    assert not [each for each in watch.findings() if each.measure in of_demand]
+    assert not [each for each in monitor.findings() if each.measure in of_demand]
--- a/tests/unit/test_routes.py
+++ b/tests/unit/test_routes.py
@@ -1,4 +1,4 @@
-"""Check how requests find their route and service."""
+"""Check how the route and the service of a request are chosen."""
 
 import collections
 import random
@@ -9,6 +9,7 @@
 
 
 def test_the_longest_prefix_of_the_host_wins():
+    """Guard against a shorter prefix or another host's route taking a request."""
     routes = (
         build_route("short", prefix="/a/"),
         build_route("long", prefix="/a/b/"),
@@ -22,6 +23,7 @@
 
 
 def test_services_share_a_route_by_their_weights():
+    """Guard against a split of traffic that ignores the services' weights."""
     shares = (ServiceShare("old", 90), ServiceShare("new", 10))
     route = build_route(shares=shares)
     chance = random.Random(1)
@@ -29,6 +31,7 @@
     assert 0.07 < drawn["new"] / 2000 < 0.13
 
 
-def test_a_service_with_no_weight_at_all_still_gets_the_route():
+def test_a_route_whose_weights_are_all_zero_still_has_a_service():
+    """Guard against a route without a service when all weights are zero."""
     route = build_route(shares=(ServiceShare("only", 0), ServiceShare("other", 0)))
     assert choose_service(route, random.Random(1)) == "only"
