--- a/packages/fescuedrum-bench/src/fescuedrum_bench/standins/__init__.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Take the place of outside systems, each behind its published protocol."""
+"""Stand-ins for external systems, each serving the protocol of the original."""
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/standins/batching.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/standins/batching.py
@@ -1,4 +1,4 @@
-"""Batch sequences step by step, as a model engine does."""
+"""Simulate the continuous batching of a model engine."""
 
 import asyncio
 import hashlib
@@ -13,13 +13,13 @@
 
 @dataclass(slots=True)
 class EngineShape:
-    """Say how fast an engine is; its capacity follows from these."""
+    """Hold the speed and the limits of an engine, which determine its capacity."""
 
     step_seconds: float = 0.01
     # Added to a step for each sequence in the batch.
     sequence_seconds: float = 0.0
     batch: int = 256
-    # Prompt tokens read a second; cached ones cost nothing.
+    # Prompt tokens processed per second; cached tokens take no time.
     prefill_rate: float = 200_000.0
     cache_blocks: int = 4096
     cold_limit: int = 2
@@ -28,30 +28,30 @@
 
     @property
     def tokens_per_second(self):
-        """Return the tokens generated a second by a full batch."""
+        """Return the tokens that a full batch generates per second."""
         return self.batch / (self.step_seconds + self.batch * self.sequence_seconds)
 
 
 @dataclass(slots=True, eq=False)
 class Sequence:
-    """Hold one running completion; its tokens are counted out on the queue."""
+    """Hold one completion and the queue that reports its progress."""
 
     tokens: int
     prompt: str
     priority: int = 0
-    # Steps that pass for each token: above 1 for a planted slowness.
+    # Steps per token: above 1 for an injected slowdown.
     slowness: float = 1.0
     progress: float = 0.0
     produced: int = 0
     cached_tokens: int = 0
     prefilled: bool = False
     cancelled: bool = False
-    # Numbers of tokens produced so far; None when the engine fell over.
+    # Total of tokens produced after each step; None when the engine crashed.
     events: asyncio.Queue = field(default_factory=asyncio.Queue)
 
 
 class PrefixCache:
-    """Remember blocks of prompts, the least recently used forgotten first."""
+    """Hold blocks of prompts and evict the least recently used."""
 
     __slots__ = ("blocks", "hits", "limit", "misses")
 
@@ -62,18 +62,18 @@
         self.misses = 0
 
     def read(self, prompt):
-        """Return the cached tokens of a prompt and keep all of its blocks."""
+        """Return the number of cached tokens of a prompt and cache all its blocks."""
         size = BLOCK_TOKENS * BYTES_PER_TOKEN
         digest = hashlib.sha256()
         cached = 0
-        whole = True
+        all_cached = True
         for start in range(0, len(prompt) - size + 1, size):
             digest.update(prompt[start : start + size].encode())
             key = digest.digest()
-            whole = whole and key in self.blocks
-            cached += BLOCK_TOKENS if whole else 0
-            self.hits += whole
-            self.misses += not whole
+            all_cached = all_cached and key in self.blocks
+            cached += BLOCK_TOKENS if all_cached else 0
+            self.hits += all_cached
+            self.misses += not all_cached
             self.blocks[key] = None
             self.blocks.move_to_end(key)
         while len(self.blocks) > self.limit:
@@ -82,7 +82,7 @@
 
 
 class BatchLoop:
-    """Own the batch and the sequences that wait for a place in it."""
+    """Run the batch and hold the sequences that wait for a slot in it."""
 
     __slots__ = (
         "answered",
@@ -109,15 +109,16 @@
         self.since_cold = 0
         self.falls = 0
         self.tokens = 0
-        # Planted: how many times slower than its shape the engine is.
+        # Injected fault: factor by which the engine is slower than its shape.
         self.slow_factor = 1.0
 
     @property
     def cold(self):
+        """Return whether too few completions have ended since the last restart."""
         return self.since_cold < self.shape.warm_after
 
     def turn_cold(self):
-        """Restart: what runs is cut, and the engine is cold."""
+        """Simulate a restart: abort all sequences and begin cold."""
         self.since_cold = 0
         for sequence in [*self.running, *(each for *_, each in self.waiting)]:
             sequence.events.put_nowait(None)
@@ -125,7 +126,7 @@
         self.waiting.clear()
 
     def submit(self, sequence):
-        """Take a sequence; return False when the cold engine fell over."""
+        """Queue a sequence; return False if it crashed the cold engine."""
         load = len(self.running) + sum(not each.cancelled for *_, each in self.waiting)
         if self.cold and load >= self.shape.cold_limit:
             self.falls += 1
@@ -137,7 +138,11 @@
         return True
 
     async def run(self):
-        """Step while there is work; late wake-ups don't lower the capacity."""
+        """Run steps while there are sequences, until cancelled.
+
+        Each step is due at a time that follows from the one before, so that late
+        wake-ups of the event loop don't lower the capacity.
+        """
         loop = asyncio.get_running_loop()
         while True:
             await self.work.wait()
@@ -149,7 +154,7 @@
             self.work.clear()
 
     def fill_batch(self):
-        """Fill the batch; return None without work, else the seconds of prefill."""
+        """Fill the batch; return the seconds of prefill, or None if it is empty."""
         self.running = [each for each in self.running if not each.cancelled]
         while self.waiting and len(self.running) < self.shape.batch:
             *_, sequence = heapq.heappop(self.waiting)
@@ -160,6 +165,7 @@
         return max(self.prefill_time(), 1e-9)
 
     def prefill_time(self):
+        """Return the seconds that the new sequences of the batch need for prefill."""
         tokens = 0
         for sequence in self.running:
             if not sequence.prefilled:
@@ -170,12 +176,14 @@
         return tokens / self.shape.prefill_rate
 
     def step_time(self, prefill):
+        """Return the seconds of the next step, prefill included."""
         shape = self.shape
         seconds = shape.step_seconds + len(self.running) * shape.sequence_seconds
         factor = self.slow_factor * (shape.cold_factor if self.cold else 1.0)
         return (seconds + prefill) * factor
 
     def step(self):
+        """Advance every sequence by one step and remove the completed ones."""
         for sequence in self.running:
             sequence.progress += 1 / sequence.slowness
             count = min(int(sequence.progress + 1e-9), sequence.tokens)
@@ -183,7 +191,7 @@
                 self.tokens += count - sequence.produced
                 sequence.produced = count
                 sequence.events.put_nowait(count)
-        done = [each for each in self.running if each.produced >= each.tokens]
-        self.answered += len(done)
-        self.since_cold += len(done)
+        completed = [each for each in self.running if each.produced >= each.tokens]
+        self.answered += len(completed)
+        self.since_cold += len(completed)
         self.running = [each for each in self.running if each.produced < each.tokens]
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/standins/engine.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/standins/engine.py
@@ -1,4 +1,4 @@
-"""Stand in for a model engine with an OpenAI-style interface."""
+"""Stand-in for a model engine with an OpenAI-style interface."""
 
 import asyncio
 import hashlib
@@ -18,25 +18,27 @@
 
 
 def token_text(prompt, index):
-    """Derive a token from the prompt, so that a checker can tell a wrong answer."""
+    """Return a token derived from the prompt, so that a wrong answer is detected."""
     return hashlib.sha256(f"{prompt}#{index}".encode()).hexdigest()[:6] + " "
 
 
 def completion_text(prompt, count):
+    """Return the text of a completion of some tokens."""
     return "".join(token_text(prompt, index) for index in range(count))
 
 
 def prompt_of(data):
+    """Return the prompt of a completion or chat request."""
     if "messages" in data:
         return "\n".join(str(message["content"]) for message in data["messages"])
     return str(data.get("prompt", ""))
 
 
 class Engine:
-    """Serve completions from one batch; cold at its start.
+    """Serve completions from one batch, beginning cold.
 
-    A cold engine that is given more than it can carry falls over: it answers 503 to
-    everything it runs and is cold again. Its load report lags as real ones do.
+    A cold engine that receives more sequences than its cold limit crashes: it answers
+    503 to everything that it runs or queues, and is cold again.
     """
 
     __slots__ = ("batch", "load_report", "model", "slow_organisations", "task")
@@ -44,12 +46,13 @@
     def __init__(self, model, shape):
         self.model = model
         self.batch = BatchLoop(shape)
-        # Planted unfairness: organisation to the steps that pass for each token.
+        # Injected unfairness: steps per token for each organisation.
         self.slow_organisations = {}
         self.load_report = {}
         self.task = None
 
     def build_application(self):
+        """Return the application with the routes for completions, load and faults."""
         application = web.Application()
         application.router.add_post("/v1/completions", self.complete)
         application.router.add_post("/v1/chat/completions", self.complete)
@@ -60,11 +63,13 @@
         return application
 
     async def run_batch(self, _):
+        """Run the batch as long as the application."""
         self.task = asyncio.create_task(self.batch.run())
         yield
         self.task.cancel()
 
     async def load(self, _):
+        """Answer with the counters of the batch and its cache."""
         batch = self.batch
         return web.json_response(
             {
@@ -80,7 +85,7 @@
         )
 
     async def put_faults(self, request):
-        """Plant faults: cold, slow_factor, slow_organisations."""
+        """Inject faults: cold, slow_factor, slow_organisations."""
         plan = await request.json()
         if plan.get("cold"):
             self.batch.turn_cold()
@@ -90,6 +95,7 @@
         return web.json_response({})
 
     async def complete(self, request):
+        """Answer a completion request, streamed if it asks for that."""
         data = await request.json()
         prompt = prompt_of(data)
         sequence = Sequence(
@@ -105,10 +111,11 @@
                 return await self.stream(request, prompt, sequence)
             return await self.answer(prompt, sequence)
         finally:
-            # The caller may have left: its place in the batch is free again.
+            # The caller may have disconnected: free its slot in the batch.
             sequence.cancelled = True
 
     async def answer(self, prompt, sequence):
+        """Return the whole completion in one response."""
         produced = 0
         while produced < sequence.tokens:
             produced = await sequence.events.get()
@@ -123,6 +130,7 @@
         return web.json_response(body)
 
     async def stream(self, request, prompt, sequence):
+        """Send the tokens as server-sent events while they are produced."""
         response = web.StreamResponse(headers={"Content-Type": "text/event-stream"})
         sent = 0
         while sent < sequence.tokens:
@@ -139,18 +147,21 @@
         return response
 
     def cut(self, request, sent):
+        """Answer 503, or abort the connection if the stream has begun."""
         if not sent:
             return web.json_response({"error": "fell over"}, status=503)
         request.transport.abort()
-        raise ConnectionResetError("the engine fell over in the middle of a stream")
+        raise ConnectionResetError("the engine crashed in the middle of a stream")
 
 
 def token_event(prompt, index):
+    """Return the server-sent event of one token."""
     event = {"choices": [{"text": token_text(prompt, index)}]}
     return f"data: {json.dumps(event)}\n\n"
 
 
 def usage(prompt, sequence):
+    """Return the token counts of a completion."""
     prompt_tokens = int(len(prompt) / BYTES_PER_TOKEN)
     return {
         "prompt_tokens": prompt_tokens,
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/standins/lockstep.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/standins/lockstep.py
@@ -1,14 +1,14 @@
-"""Stand in for the engine of one rank: it steps, holds and switches maps."""
+"""Stand-in for the engine of one rank, which holds steps and switches maps."""
 
 from fescuedrum.groups.member import EngineState
 from fescuedrum.groups.messages import Fetch, HoldAfter, Release, SwitchAt
 
 
 class LockStepEngine:
-    """Follow orders about maps and record the map of every step.
+    """Carry out orders about expert maps and record the map of every step.
 
-    An engine that refuses old fencing numbers keeps the highest change it was ordered
-    to settle; one that ignores them takes any order.
+    A fenced engine keeps the highest change that it was ordered to settle and refuses
+    orders of older changes; an engine that isn't fenced takes any order.
     """
 
     __slots__ = (
@@ -35,21 +35,23 @@
         self.loaded = {0}
         self.settled = 0
         self.refusals = 0
-        # The next step to start.
+        # Number of the next step to start.
         self.step = 0
-        # The map of each step that was started.
+        # Change whose map each started step used.
         self.history = []
 
     def state(self):
+        """Return the state that the engine reports to its agent."""
         change, step = self.scheduled or (self.change, self.since)
         loaded = frozenset(self.loaded)
         return EngineState(change, step, self.held, self.hold_step, loaded)
 
     def may_start(self):
+        """Return whether no hold prevents the next step."""
         return not self.held or self.step < self.hold_step
 
     def start_step(self):
-        """Start the next step under the map that is due."""
+        """Start the next step, with the scheduled map if its step has come."""
         if self.scheduled and self.step >= self.scheduled[1]:
             old = self.change
             self.change, self.since = self.scheduled
@@ -59,7 +61,7 @@
         self.step += 1
 
     def take(self, order):
-        """Carry out an order; say whether it was taken."""
+        """Carry out an order; return whether it was accepted."""
         newest = self.scheduled[0] if self.scheduled else self.change
         if order.change <= newest or (self.fenced and order.change < self.settled):
             self.refusals += 1
@@ -78,6 +80,7 @@
         return True
 
     def hold(self, change, steps):
+        """Hold the engine after some steps; return whether this change holds it."""
         if self.fenced and change <= self.settled:
             self.refusals += 1
             return False
@@ -87,6 +90,7 @@
         return self.held == change
 
     def switch(self, change, step):
+        """Schedule the switch to a loaded map; return whether it was accepted."""
         if change not in self.loaded:
             self.refusals += 1
             return False
@@ -96,6 +100,7 @@
         return True
 
     def release(self, change):
-        # Only its own change frees it: an order may be late and another one waits.
+        """End the hold of a change."""
+        # A late order of another change must not end the current hold.
         if self.held == change:
             self.held = 0
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/standins/platform.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/standins/platform.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform: table, object store and instance list, in memory."""
+"""Stand-in for the platform: table, object store and instance list in memory."""
 
 import asyncio
 from collections import Counter
@@ -10,10 +10,11 @@
 
 
 class Platform:
-    """Hold rows, objects and instances; a fault plan spoils its answers.
+    """Hold rows, objects and instances, and inject faults into the answers.
 
     Faults (PUT /faults): down refuses all calls; lost_answers drops that many
-    answers of transactions after their writes took effect; delay_seconds slows all.
+    answers of transactions after their writes took effect; delay_seconds delays
+    every call.
     """
 
     __slots__ = (
@@ -27,7 +28,7 @@
     )
 
     def __init__(self):
-        # How often each of its parts was called.
+        # Number of calls by method and first part of the path.
         self.calls = Counter()
         self.rows = {}
         self.objects = {}
@@ -37,7 +38,8 @@
         self.delay_seconds = 0.0
 
     def build_application(self):
-        application = web.Application(middlewares=[self.spoil])
+        """Return the application with the routes for the platform and its faults."""
+        application = web.Application(middlewares=[self.inject_faults])
         router = application.router
         router.add_get("/table/row", self.get_row)
         router.add_get("/table/scan", self.scan)
@@ -52,7 +54,8 @@
         return application
 
     @web.middleware
-    async def spoil(self, request, handler):
+    async def inject_faults(self, request, handler):
+        """Count a call, and delay it, refuse it or drop its answer as planned."""
         if request.path in ("/faults", "/calls"):
             return await handler(request)
         self.calls[f"{request.method} /{request.path.split('/')[1]}"] += 1
@@ -67,9 +70,11 @@
         return response
 
     async def list_calls(self, _):
+        """Answer with the number of calls of each kind."""
         return web.json_response(self.calls)
 
     async def put_faults(self, request):
+        """Set the faults that the request names; the others stay."""
         plan = await request.json()
         self.down = plan.get("down", self.down)
         self.lost_answers = plan.get("lost_answers", self.lost_answers)
@@ -77,18 +82,22 @@
         return web.json_response({})
 
     def row(self, key):
+        """Return a row; an absent one has version 0."""
         value, version = self.rows.get(key, (None, 0))
         return {"key": key, "value": value, "version": version}
 
     async def get_row(self, request):
+        """Answer with one row."""
         return web.json_response(self.row(request.query["key"]))
 
     async def scan(self, request):
+        """Answer with the rows whose keys have a prefix, sorted by key."""
         prefix = request.query["prefix"]
         found = [self.row(key) for key in sorted(self.rows) if key.startswith(prefix)]
         return web.json_response(found)
 
     async def transact(self, request):
+        """Apply all writes, or none if a row has another version than expected."""
         writes = await request.json()
         for write in writes:
             expected = write["expected_version"]
@@ -99,6 +108,7 @@
         return web.json_response({})
 
     def apply(self, write):
+        """Write or delete one row."""
         version = self.row(write["key"])["version"] + 1
         if write["value"] is None:
             self.rows.pop(write["key"], None)
@@ -106,23 +116,28 @@
             self.rows[write["key"]] = (write["value"], version)
 
     async def get_object(self, request):
+        """Answer with the bytes of an object."""
         body = self.objects.get(request.match_info["name"])
         if body is None:
             return web.Response(status=NOT_FOUND)
         return web.Response(body=body)
 
     async def put_object(self, request):
+        """Store the bytes of an object."""
         self.objects[request.match_info["name"]] = await request.read()
         return web.Response()
 
     async def list_instances(self, _):
+        """Answer with all instances."""
         return web.json_response(list(self.instances.values()))
 
     async def put_instance(self, request):
+        """Add or replace an instance."""
         self.instances[request.match_info["name"]] = await request.json()
         return web.Response()
 
     async def delete_instance(self, request):
+        """Remove an instance if it is listed."""
         self.instances.pop(request.match_info["name"], None)
         return web.Response()
 
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/standins/runner.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/standins/runner.py
@@ -1,4 +1,4 @@
-"""Serve one stand-in's application until a signal."""
+"""Serve the application of a stand-in until SIGTERM."""
 
 from aiohttp import web
 
@@ -6,6 +6,7 @@
 
 
 async def healthz(_):
+    """Answer that the process is alive."""
     return web.json_response({"alive": True})
 
 
