--- a/packages/fescuedrum-bench/src/fescuedrum_bench/__init__.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins, site launcher, demo and load for fescuedrum."""
+"""Stand-ins, site launcher, demo, load generator and experiments for fescuedrum."""
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/__main__.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/__main__.py
@@ -1,4 +1,4 @@
-"""Find and run the commands of the bench."""
+"""Run a command of the bench."""
 
 import sys
 
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/chaos.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/chaos.py
@@ -1,4 +1,4 @@
-"""Send requests to a whole site while it suffers random faults."""
+"""Send requests to a site while random faults are injected into it."""
 
 import asyncio
 import random
@@ -14,7 +14,7 @@
 ORGANISATIONS = ("fjordbrod-bergen", "trentside-derby")
 DEADLINE_SECONDS = 4.0
 CALLER_SECONDS = 8.0
-# A caller repeats a key so often before it gives up until the faults are over.
+# Attempts with one key during the faults, and again after them.
 TRIES = 6
 SETTLING_TRIES = 2
 UNKEYED_SHARE = 0.1
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class ChaosPlan:
-    """Say how long and how hard a run is; all choices come from the seed."""
+    """Hold the length and load of a run, and the seed of its random choices."""
 
     seed: int
     seconds: float
@@ -37,7 +37,7 @@
 
 
 class Faults:
-    """Bring about faults one after the other, several of them at a time."""
+    """Inject random faults, several of which may overlap."""
 
     __slots__ = ("done", "plan", "random", "running", "site", "taken")
 
@@ -50,118 +50,123 @@
         self.done = []
 
     async def run(self, seconds):
+        """Start faults for some seconds and wait until all have ended."""
         loop = asyncio.get_running_loop()
         end = loop.time() + seconds
         while loop.time() < end:
             kind = self.random.choice(KINDS)
-            lasting = self.random.uniform(0.5, 4.0) * self.plan.fault_seconds
+            duration = self.random.uniform(0.5, 4.0) * self.plan.fault_seconds
             self.done.append(kind.__name__)
-            task = asyncio.create_task(kind(self, lasting))
+            task = asyncio.create_task(kind(self, duration))
             self.running.add(task)
             task.add_done_callback(self.running.discard)
             await asyncio.sleep(self.random.uniform(0.2, 1.8) * self.plan.fault_seconds)
-        # A fault that was lifted wrongly would spoil every later judgement.
+        # An error when a fault ends would make all later checks meaningless.
         await asyncio.gather(*self.running)
 
     def pick(self, members):
-        """Choose a member that no other fault has in hand; never the last one."""
+        """Return a member without a fault, or None if fewer than two are left."""
         free = [each for each in members if each not in self.taken]
         return self.random.choice(free) if len(free) > 1 else None
 
-    async def kill(self, members, lasting):
+    async def kill(self, members, duration):
+        """Kill one of the members and start it again."""
         if member := self.pick(members):
             self.taken.add(member)
             await member.kill()
-            await asyncio.sleep(lasting / 2)
+            await asyncio.sleep(duration / 2)
             await self.site.restart(member)
             self.taken.discard(member)
 
-    async def pause(self, members, lasting):
+    async def pause(self, members, duration):
+        """Stop one of the members by SIGSTOP and continue it."""
         if member := self.pick(members):
             self.taken.add(member)
             member.process.send_signal(signal.SIGSTOP)
-            await asyncio.sleep(lasting * 2)
+            await asyncio.sleep(duration * 2)
             member.process.send_signal(signal.SIGCONT)
             self.taken.discard(member)
 
-    async def replace(self, members, lasting):
+    async def replace(self, members, duration):
+        """Stop one of the members gracefully and start it again."""
         if member := self.pick(members):
             self.taken.add(member)
             await member.stop()
-            await asyncio.sleep(lasting / 4)
+            await asyncio.sleep(duration / 4)
             await self.site.restart(member)
             self.taken.discard(member)
 
     def proxy(self):
+        """Return the proxy of a random connection."""
         return self.random.choice(list(self.site.proxies.values()))
 
 
-async def kill_entry(faults, lasting):
-    await faults.kill(faults.site.entries, lasting)
+async def kill_entry(faults, duration):
+    await faults.kill(faults.site.entries, duration)
 
 
-async def kill_agent(faults, lasting):
-    await faults.kill(faults.site.agents, lasting)
+async def kill_agent(faults, duration):
+    await faults.kill(faults.site.agents, duration)
 
 
-async def pause_entry(faults, lasting):
-    await faults.pause(faults.site.entries, lasting)
+async def pause_entry(faults, duration):
+    await faults.pause(faults.site.entries, duration)
 
 
-async def pause_agent(faults, lasting):
-    await faults.pause(faults.site.agents, lasting)
+async def pause_agent(faults, duration):
+    await faults.pause(faults.site.agents, duration)
 
 
-async def pause_endpoint(faults, lasting):
-    await faults.pause(faults.site.endpoints, lasting / 2)
+async def pause_endpoint(faults, duration):
+    await faults.pause(faults.site.endpoints, duration / 2)
 
 
-async def replace_entry(faults, lasting):
-    await faults.replace(faults.site.entries, lasting)
+async def replace_entry(faults, duration):
+    await faults.replace(faults.site.entries, duration)
 
 
-async def replace_agent(faults, lasting):
-    await faults.replace(faults.site.agents, lasting)
+async def replace_agent(faults, duration):
+    await faults.replace(faults.site.agents, duration)
 
 
-async def store_outage(faults, lasting):
+async def store_outage(faults, duration):
     await faults.site.set_faults(down=True)
-    await asyncio.sleep(lasting)
+    await asyncio.sleep(duration)
     await faults.site.set_faults(down=False)
 
 
-async def lost_answers(faults, lasting):
+async def lost_answers(faults, duration):
     await faults.site.set_faults(lost_answers=faults.random.randrange(1, 8))
 
 
-async def slow_store(faults, lasting):
+async def slow_store(faults, duration):
     await faults.site.set_faults(delay_seconds=faults.random.uniform(0.01, 0.3))
-    await asyncio.sleep(lasting)
+    await asyncio.sleep(duration)
     await faults.site.set_faults(delay_seconds=0.0)
 
 
-async def cut_connections(faults, lasting):
+async def cut_connections(faults, duration):
     faults.proxy().cut()
 
 
-async def silence_connections(faults, lasting):
+async def silence_connections(faults, duration):
     faults.proxy().silence()
 
 
-async def delay_connections(faults, lasting):
+async def delay_connections(faults, duration):
     proxy = faults.proxy()
     proxy.delay_seconds = faults.random.uniform(0.02, 0.4)
-    await asyncio.sleep(lasting)
+    await asyncio.sleep(duration)
     proxy.heal()
 
 
-async def partition(faults, lasting):
+async def partition(faults, duration):
     proxy = faults.proxy()
     proxy.mode = faults.random.choice((Mode.PARTITION, Mode.REFUSE))
     if proxy.mode is Mode.REFUSE:
         proxy.cut()
-    await asyncio.sleep(lasting)
-    # What was dropped in between is missing from every connection that is left.
+    await asyncio.sleep(duration)
+    # Data dropped during the partition is missing from every open connection.
     proxy.silence()
     proxy.heal()
 
@@ -185,7 +190,7 @@
 
 
 class Callers:
-    """Act for all callers and keep what they were told."""
+    """Send the requests of all callers and hold their records."""
 
     __slots__ = ("plan", "random", "records", "site", "unsettled")
 
@@ -197,6 +202,7 @@
         self.unsettled = []
 
     def caller(self, organisation):
+        """Return a caller of an organisation at a random entry."""
         entry = self.random.choice(self.site.entries)
         key = self.site.keys[organisation]
         caller = Caller(self.site.session, entry.url, organisation, key)
@@ -205,6 +211,7 @@
         return caller
 
     async def run(self, worker, end):
+        """Send the requests of one worker, one after the other, until a time."""
         loop = asyncio.get_running_loop()
         organisation = ORGANISATIONS[worker % len(ORGANISATIONS)]
         number = 0
@@ -214,6 +221,7 @@
             await asyncio.sleep(self.random.uniform(0.0, 0.05))
 
     async def send(self, organisation, reference):
+        """Send one request of a random kind and record it."""
         caller = self.caller(organisation)
         draw = self.random.random()
         if draw < LOOKUP_SHARE:
@@ -223,36 +231,41 @@
             self.records.append(await send(reference))
         elif draw < LOOKUP_SHARE + COMPLETION_SHARE + UNKEYED_SHARE:
             self.records.append(await caller.book(f"{reference}-once", keyed=False))
-        elif not await self.insist(organisation, reference, TRIES):
+        elif not await self.repeat_booking(organisation, reference, TRIES):
             self.unsettled.append((organisation, reference))
 
-    async def insist(self, organisation, reference, tries):
-        """Repeat a key through any entry until its end is told."""
+    async def repeat_booking(self, organisation, reference, tries):
+        """Repeat a booking at random entries; return whether it was answered."""
         for _ in range(tries):
-            # Impatient callers send a key twice at once.
+            # Some callers send a key twice concurrently.
             count = 2 if self.random.random() < 0.1 else 1
             sendings = [self.caller(organisation).book(reference) for _ in range(count)]
-            told = await asyncio.gather(*sendings)
-            self.records += told
-            if any(each.outcome == Outcome.ANSWERED for each in told):
+            records = await asyncio.gather(*sendings)
+            self.records += records
+            if any(each.outcome == Outcome.ANSWERED for each in records):
                 return True
             await asyncio.sleep(self.random.uniform(0.05, 0.4))
         return False
 
     async def settle(self):
-        """Repeat, on a whole site, every key whose end was not told."""
-        open_keys, self.unsettled = self.unsettled, []
+        """Repeat every booking without an answer, after the faults have ended."""
+        unanswered_keys, self.unsettled = self.unsettled, []
         ends = await asyncio.gather(
-            *(self.insist(*open_key, SETTLING_TRIES) for open_key in open_keys)
+            *(
+                self.repeat_booking(*unanswered_key, SETTLING_TRIES)
+                for unanswered_key in unanswered_keys
+            )
         )
         self.unsettled = [
-            open_key for open_key, told in zip(open_keys, ends, strict=True) if not told
+            unanswered_key
+            for unanswered_key, answered in zip(unanswered_keys, ends, strict=True)
+            if not answered
         ]
 
 
 @dataclass(slots=True)
 class ChaosResult:
-    """Hold the verdict and what it was reached on."""
+    """Hold the verdict of a run and the data that it was computed from."""
 
     verdict: object
     records: list
@@ -262,7 +275,7 @@
 
 
 async def run_chaos(plan):
-    """Run a site under faults and judge it."""
+    """Run a site under faults and return the verdict on its answers."""
     shape = SiteShape(
         entries=plan.entries,
         services=plan.services,
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/checker.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/checker.py
@@ -1,4 +1,4 @@
-"""Judge callers' records against what the endpoints did."""
+"""Compare what callers received with what the endpoints executed."""
 
 import math
 from collections import Counter
@@ -12,26 +12,27 @@
 
 @dataclass(slots=True)
 class Record:
-    """Hold what one caller sent and was told."""
+    """Hold one request of a caller and its outcome."""
 
     kind: str
     organisation: str
     outcome: str
     status: int
     seconds: float
-    # The booking's reference, for requests that may run only once.
+    # Reference of the booking, for requests that may run only once.
     reference: str = ""
+    # Whether the answer was complete and correct.
     whole: bool = True
     keyed: bool = False
-    # Loop time at the sending, in seconds.
+    # Time of sending on the event loop's clock, in seconds.
     began: float = 0.0
-    # Code of the error that was told, if any.
+    # Error code in the answer, if any.
     code: str = ""
 
 
 @dataclass(slots=True)
 class Verdict:
-    """Count outcomes and breaches."""
+    """Hold the counts of outcomes and of broken promises."""
 
     requests: int
     answered: int
@@ -47,22 +48,28 @@
 
     @property
     def kept(self):
-        """Tell whether every promise was kept."""
+        """Return whether every promise was kept."""
         breaches = self.doubled + self.lost + self.false_not_run + self.wrong_answers
         return breaches == 0
 
 
 def judge(records, executions):
-    """Compare records with the count of executions of each reference."""
+    """Return the verdict on records, given the executions of each reference."""
     outcomes = Counter(record.outcome for record in records)
-    told = {}
+    by_reference = {}
     for record in records:
         if record.reference:
-            told.setdefault(record.reference, []).append(record)
+            by_reference.setdefault(record.reference, []).append(record)
     doubled = [reference for reference, count in executions.items() if count > 1]
-    lost = [each for each in told if is_lost(told[each], executions.get(each, 0))]
+    lost = [
+        each
+        for each in by_reference
+        if is_lost(by_reference[each], executions.get(each, 0))
+    ]
     false_not_run = [
-        each for each in told if is_false_not_run(told[each], executions.get(each, 0))
+        each
+        for each in by_reference
+        if is_false_not_run(by_reference[each], executions.get(each, 0))
     ]
     wrong = [
         record.reference
@@ -84,13 +91,16 @@
 
 
 def is_lost(records, executions):
+    """Return whether a request was answered although it was never executed."""
     return not executions and any(each.outcome == Outcome.ANSWERED for each in records)
 
 
 def is_false_not_run(records, executions):
-    """Tell whether "not run" was told of what ran, or after its answer was told.
+    """Return whether "not run" was reported of a request that ran.
 
-    A refusal because the key could not be checked speaks of that sending alone.
+    That is so if a request with executions had no other outcome, or if it was sent
+    again after its answer and reported as not run. A refusal because the key could
+    not be checked applies to that sending only.
     """
     outcomes = {record.outcome for record in records}
     if outcomes == {Outcome.NOT_RUN} and executions:
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/cold_start.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/cold_start.py
@@ -5,7 +5,7 @@
 from fescuedrum_bench.experiments.base import Experiment, Figure
 from fescuedrum_bench.load import Job, Mix, OpenLoop, open_session
 from fescuedrum_bench.site import Site
-from fescuedrum_bench.trial import build_shape, capacity, count, plant
+from fescuedrum_bench.trial import build_shape, capacity, count, inject_faults
 
 ENGINES = 3
 SECONDS = 14.0
@@ -69,5 +69,5 @@
     turn = 0
     while True:
         await asyncio.sleep(TURN_COLD_EVERY)
-        await plant(site, {f"engine-{turn % ENGINES}": {"cold": True}})
+        await inject_faults(site, {f"engine-{turn % ENGINES}": {"cold": True}})
         turn += 1
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/fairness.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/fairness.py
@@ -5,7 +5,7 @@
 from fescuedrum_bench.experiments.base import Experiment, Figure
 from fescuedrum_bench.load import Job, Mix, OpenLoop, open_session
 from fescuedrum_bench.site import Site
-from fescuedrum_bench.trial import build_shape, plant
+from fescuedrum_bench.trial import build_shape, inject_faults
 
 ENGINES = 3
 ORGANISATIONS = ("club", "shop", "kitchen", "office", "school")
@@ -29,9 +29,9 @@
         sender = OpenLoop(session, [entry.url for entry in site.entries], seed)
         sending = asyncio.create_task(sender.run(mixes, seconds))
         false = await findings_within(site, FAIR_SECONDS)
-        await plant(site, BIAS)
+        await inject_faults(site, BIAS)
         found_after, found = await wait_for(site, bool)
-        await plant(site, NO_BIAS)
+        await inject_faults(site, NO_BIAS)
         cleared_after, _ = await wait_for(site, lambda findings: not findings)
         sending.cancel()
     named = {each["organisation"] for each in found} == {HARMED}
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/exploration.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/exploration.py
@@ -1,8 +1,8 @@
-"""Explore every order of events of a change of the expert map in a small group.
+"""Explore the orders of events in which a small group may change its expert map.
 
-The classes that run in the agents and the entries run here, between stand-in engines
-and a network that delivers in any order, loses and repeats. States are kept as pickles
-and each is visited once. The faults of one exploration are bounded by a budget.
+The classes of the agents and the entries run here with stand-in engines and a network
+that reorders, loses and repeats messages. States are stored as pickles and each is
+visited once. A budget limits the faults of one exploration.
 """
 
 import pickle
@@ -23,36 +23,36 @@
 )
 from fescuedrum_bench.standins.lockstep import LockStepEngine
 
-# A horizon of one step reaches every order of holding and stepping soonest.
+# The shortest lead reaches all orders of holds and steps within the fewest states.
 HOLD_LEAD_STEPS = 1
 LAST_STEP = 5
-# Rounds of delivering everything after which a group must step again.
+# Rounds of delivering all messages within which a group must step again.
 FAIR_ROUNDS = 12
 WALK_EVENTS = 40
-# One state in so many is followed until messages have flowed; it costs most.
+# One state in this many gets the check of progress, the most expensive check.
 FAIR_SAMPLE = 8
 
 
 class Violation(Exception):  # noqa: N818 - the model checker's term
-    """Report a promise that was broken, with the events that led to it."""
+    """A promise was broken; the message lists the events that led to it."""
 
 
 @dataclass(slots=True)
 class Faults:
-    """Bound the faults of one exploration."""
+    """Hold the budget of faults of one exploration."""
 
     losses: int = 0
     repeats: int = 0
     timeouts: int = 0
     new_holders: int = 0
     wakings: int = 0
-    # Ranks whose agents may be killed, each as often as it stands here.
+    # Ranks whose agents may be killed, once for each entry of the rank.
     kills: tuple[int, ...] = ()
 
 
 @dataclass(slots=True)
 class Classes:
-    """Name the classes under test; a planted defect replaces one of them."""
+    """Hold the classes under test, one of which a test may replace by a faulty one."""
 
     arbiter: type = Arbiter
     member: type = Participant
@@ -62,23 +62,23 @@
 
 @dataclass(slots=True)
 class Scenario:
-    """Say what is explored."""
+    """Describe an exploration: the group, its faults and the limits."""
 
     ranks: int = 2
     faults: Faults = field(default_factory=Faults)
     fenced: bool = True
-    # Whether orders to engines travel too; else they are carried out at once.
+    # Whether orders to engines pass through the network or take effect at once.
     slow_orders: bool = False
     classes: Classes = field(default_factory=Classes)
     limit: int = 20_000
     seed: int = 1
-    # Begin before the ranks load; else all but the unloaded have when it begins.
+    # Begin before any rank has loaded; otherwise all but `unloaded` have loaded.
     loading: bool = False
     unloaded: tuple[int, ...] = ()
 
 
 class World:
-    """Hold one state: the processes, the engines and the messages under way."""
+    """Hold one state: the processes, the engines and the messages in flight."""
 
     __slots__ = (
         "arbiter",
@@ -110,16 +110,17 @@
         self.holder = classes.holder(ranks, self.fence)
 
     def new_member(self, rank, classes):
+        """Return a participant that starts with its engine's current state."""
         state = self.engines[rank].state()
         return classes.member(rank, self.starts, state, hold_lead_steps=HOLD_LEAD_STEPS)
 
     def order(self):
-        """Sort the network, so that equal states have equal pickles."""
+        """Sort the messages in flight, so that equal states have equal pickles."""
         self.network.sort(key=repr)
 
 
 class Explorer:
-    """Visit the states of one scenario; complete tells whether none was left."""
+    """Visit the states of one scenario; `complete` is set if all were visited."""
 
     __slots__ = ("checked", "complete", "parents", "random", "scenario", "seen")
 
@@ -132,14 +133,14 @@
         self.random = random.Random(scenario.seed)
 
     def run(self):
-        """Visit states until none is left or the limit is reached; return the count."""
+        """Visit all states up to the limit; return the number of states."""
         frontier = [self.remember(self.first(), None, "start")]
         while frontier and len(self.seen) < self.scenario.limit:
             state = frontier.pop()
             if zlib.crc32(state) % FAIR_SAMPLE == 0:
                 self.check_fair(state)
             events = list(self.events(pickle.loads(state)))
-            # Depth first in a random order meets far states long before the limit.
+            # Depth first in a random order reaches deep states long before the limit.
             self.random.shuffle(events)
             for event in events:
                 world = pickle.loads(state)
@@ -155,10 +156,10 @@
         return len(self.seen)
 
     def walk(self, count):
-        """Follow so many random orders of events to their end, from the first state.
+        """Check a number of random sequences of events from the first state.
 
-        Faults that need a dozen events in one order lie beyond the limit of a visit of
-        all states; random orders meet them within some thousand walks.
+        Faults that need a dozen events in one order are beyond the limit of visiting
+        all states; random walks find them within some thousand walks.
         """
         first = pickle.dumps(self.first())
         for _ in range(count):
@@ -173,6 +174,7 @@
             self.checked += 1
 
     def follow_one(self, world, events):
+        """Perform random events, append them to the list and check each state."""
         for _ in range(WALK_EVENTS):
             possible = list(self.events(world))
             if not possible:
@@ -184,7 +186,7 @@
             check_steps(world)
 
     def first(self):
-        """Return the state in which a change has begun."""
+        """Return the first state, in which a change has begun."""
         world = World(self.scenario)
         self.send(world, world.arbiter.start())
         self.send(world, world.holder.start())
@@ -203,6 +205,7 @@
         return world
 
     def remember(self, world, parent, event):
+        """Store a state with its origin; return its pickle, or None if it is known."""
         world.order()
         state = pickle.dumps(world)
         if state in self.seen:
@@ -212,6 +215,7 @@
         return state
 
     def story(self, state, event, violation):
+        """Return the events from the first state to a violation, one per line."""
         lines = [str(violation), repr(event)]
         while state is not None:
             state, event = self.parents[state]
@@ -219,7 +223,7 @@
         return "\n".join(reversed(lines))
 
     def events(self, world):
-        """Yield what may happen next."""
+        """Yield the events that are possible in a state."""
         faults = world.faults
         for index in range(len(world.network)):
             if index and world.network[index] == world.network[index - 1]:
@@ -231,7 +235,7 @@
                 yield ("repeat", index)
         lowest = min(engine.step for engine in world.engines)
         for rank, engine in enumerate(world.engines):
-            # In lock-step a rank is at most one step ahead, where it waits.
+            # In lock-step a rank waits after getting one step ahead of the others.
             if engine.step == lowest < LAST_STEP and engine.may_start():
                 yield ("step", rank)
         if not world.network:
@@ -246,6 +250,7 @@
             yield ("kill", rank)
 
     def perform(self, world, event):
+        """Change a state by one event and deduct a fault from the budget."""
         match event:
             case ("deliver", index):
                 self.deliver(world, world.network.pop(index))
@@ -272,6 +277,7 @@
                 self.kill(world, rank)
 
     def tick(self, world):
+        """Run the timers of all processes."""
         for rank, member in enumerate(world.members):
             self.send_from(world, rank, member.tick())
             self.report(world, rank)
@@ -279,13 +285,14 @@
         self.send(world, world.holder.tick(world.now))
 
     def report(self, world, rank):
-        """Let an agent read its engine's state."""
+        """Report an engine's hold to its agent."""
         state = world.engines[rank].state()
         if state.held:
             effects = world.members[rank].held(state.held, state.hold_step)
             self.send_from(world, rank, effects)
 
     def replace_holder(self, world):
+        """Start a holder with a higher fence; the old one can wake up later."""
         world.faults.new_holders -= 1
         world.sleeping = world.holder
         world.fence += 1
@@ -294,6 +301,7 @@
         self.send(world, world.holder.start())
 
     def kill(self, world, rank):
+        """Restart the agent of a rank, and the arbiter with that of rank 0."""
         kills = list(world.faults.kills)
         kills.remove(rank)
         world.faults.kills = tuple(kills)
@@ -305,12 +313,14 @@
             self.send(world, world.arbiter.start())
 
     def send(self, world, effects):
+        """Put messages into the network."""
         for effect in effects:
             if isinstance(effect, ToEngine):
                 raise AssertionError("an engine's order needs its rank")
             world.network.append(effect)
 
     def send_from(self, world, rank, effects):
+        """Put a rank's messages into the network and pass orders to its engine."""
         for effect in effects:
             match effect:
                 case ToEngine(order) if self.scenario.slow_orders:
@@ -321,6 +331,7 @@
                     world.network.append(effect)
 
     def carry_out(self, world, rank, order):
+        """Pass an order to an engine and its result to the agent."""
         engine, member = world.engines[rank], world.members[rank]
         taken = engine.take(order)
         match order:
@@ -331,6 +342,7 @@
                 self.send_from(world, rank, effects)
 
     def deliver(self, world, item):
+        """Deliver one message or order and send what follows from it."""
         match item:
             case ToRank(rank, message):
                 self.send_from(world, rank, world.members[rank].handle(message))
@@ -343,10 +355,11 @@
                 self.carry_out(world, rank, order)
 
     def note_outcome(self, world):
-        """Keep what holders were told of each change; a switch is never taken back.
+        """Record the outcome that a holder received; a switch must never be revoked.
 
-        A stay may be: an arbiter that told it and was killed before any rank knew is
-        followed by one that finds all ranks armed. Changes name their base for that.
+        The outcome "no switch" may be: if the arbiter that sent it is killed before
+        any rank knows, its successor finds all ranks armed. A change names the change
+        that it is based on for this reason.
         """
         outcome = world.holder.outcome
         if outcome is None or outcome.busy or not outcome.change:
@@ -357,11 +370,12 @@
         world.told[outcome.change] = outcome.committed
 
     def deliver_all(self, world):
+        """Deliver messages in order until none is in flight."""
         while world.network:
             self.deliver(world, world.network.pop(0))
 
     def check_fair(self, state):
-        """Let all messages flow; the group must step again under one whole map."""
+        """Check that the group steps again under one complete map without faults."""
         world = pickle.loads(state)
         self.checked += 1
         try:
@@ -370,6 +384,7 @@
             raise Violation(self.story(state, ("flow",), violation)) from None
 
     def follow_fair(self, world):
+        """Deliver all messages for some rounds and check the final state."""
         for _ in range(FAIR_ROUNDS):
             self.deliver_all(world)
             step_while_possible(world)
@@ -381,6 +396,7 @@
         self.check_end(world)
 
     def check_end(self, world):
+        """Check that all ranks can step under the map that the holders know."""
         if any(not engine.may_start() for engine in world.engines):
             raise Violation("a rank is stuck although messages flow")
         in_force = {engine.state().change for engine in world.engines}
@@ -396,7 +412,7 @@
 
 
 def check_steps(world):
-    """Check that no step ran, or runs, under two maps."""
+    """Check that no step used two maps or a map that is not loaded."""
     highest = max(engine.step for engine in world.engines)
     for step in range(highest):
         maps = {
@@ -412,7 +428,7 @@
 
 
 def step_while_possible(world):
-    """Step until a rank holds, or well past any horizon."""
+    """Step the ranks until none may start, or beyond any step of a hold."""
     limit = max(engine.step for engine in world.engines) + HOLD_LEAD_STEPS + 1
     while True:
         lowest = min(engine.step for engine in world.engines)
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/faultproxy.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/faultproxy.py
@@ -1,4 +1,4 @@
-"""Carry TCP connections and spoil them on order."""
+"""Proxy TCP connections and inject network faults into them."""
 
 import asyncio
 import contextlib
@@ -11,17 +11,17 @@
 
 
 class Mode(enum.Enum):
-    """Say how a proxy treats its connections."""
+    """Mode of a proxy, which applies to all its connections."""
 
     PASS = "pass"
-    # New connections are taken and nothing is carried: a partition without a reset.
-    # What was sent meanwhile comes when it is over, as kernels would send it again.
+    # Connections are accepted but no data passes, as in a partition without a reset.
+    # Data sent meanwhile arrives afterwards, as a kernel would retransmit it.
     PARTITION = "partition"
     REFUSE = "refuse"
 
 
 class Carrier:
-    """Own one connection through the proxy: two directions of bytes."""
+    """Forward the bytes of one connection in both directions."""
 
     __slots__ = ("proxy", "silent", "tasks", "writers")
 
@@ -32,6 +32,7 @@
         self.tasks = []
 
     async def run(self, reader, writer):
+        """Connect to the target and forward both directions until they end."""
         self.writers.append(writer)
         host, port = self.proxy.target
         far_reader, far_writer = await asyncio.open_connection(host, port)
@@ -43,11 +44,12 @@
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
     async def carry(self, reader, writer):
+        """Forward one direction with the proxy's faults until its end."""
         while data := await reader.read(READ_BYTES):
             if self.proxy.delay_seconds:
                 await asyncio.sleep(self.proxy.delay_seconds)
             await self.partition_over()
-            # A middlebox that lost track of a connection drops all and resets none.
+            # Like a middlebox that lost the connection's state: drop without a reset.
             if self.silent:
                 continue
             writer.write(data)
@@ -57,15 +59,16 @@
             writer.close()
 
     async def partition_over(self):
-        """Hold what is carried through a partition.
+        """Wait until no partition holds data back.
 
-        Dropped, it would leave a hole in the connection, which no network does: whoever
-        reads would be blamed for an answer that lacks its middle.
+        Dropped data would leave a gap within a TCP connection, which no network does,
+        and the reader would be blamed for an answer that lacks a part.
         """
         while self.proxy.mode is Mode.PARTITION and not self.silent:
             await asyncio.sleep(PARTITION_POLL_SECONDS)
 
     def cut(self):
+        """Reset the connection on both sides."""
         for writer in self.writers:
             writer.transport.abort()
         for task in self.tasks:
@@ -73,7 +76,10 @@
 
 
 class FaultProxy:
-    """Listen in place of a target and carry its connections; ordered in process."""
+    """Listen in place of a target and forward its connections with faults.
+
+    The faults are set by attributes and methods, in the same process.
+    """
 
     __slots__ = ("carriers", "delay_seconds", "mode", "server", "target")
 
@@ -85,19 +91,22 @@
         self.server = None
 
     async def start(self, host, port):
+        """Listen on an address."""
         self.server = await asyncio.start_server(self.accept, host, port)
 
     async def stop(self):
+        """Stop listening, reset all connections and wait for their end."""
         self.server.close()
         self.cut()
-        # A loop that ends before them would cancel the connections' tasks and print a
-        # traceback for each.
+        # If the event loop ended first, it would cancel the connections' tasks and
+        # print a traceback for each.
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(STOP_SECONDS):
                 while self.carriers:
                     await asyncio.sleep(STOP_POLL_SECONDS)
 
     async def accept(self, reader, writer):
+        """Forward a new connection, or reset it in mode REFUSE."""
         if self.mode is Mode.REFUSE:
             writer.transport.abort()
             return
@@ -111,16 +120,16 @@
             self.carriers.discard(carrier)
 
     def cut(self):
-        """Reset the connections that are open now."""
+        """Reset all open connections."""
         for carrier in list(self.carriers):
             carrier.cut()
 
     def silence(self):
-        """Make the connections that are open now silent for good; new ones work."""
+        """Drop all further data of the open connections; new ones work."""
         for carrier in self.carriers:
             carrier.silent = True
 
     def heal(self):
-        """Carry new connections as they come; silent ones stay silent."""
+        """End the mode and the delay; silenced connections stay silent."""
         self.mode = Mode.PASS
         self.delay_seconds = 0.0
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/load.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/load.py
@@ -1,8 +1,8 @@
-"""Send load as independent callers do, and sum up what they received.
+"""Generate open-loop load and summarise what the callers received.
 
-The loop is open: requests leave at times drawn in advance, whatever became of earlier
-ones, and each latency counts from the time at which its request should have left. A
-system that stalls, or a sender that falls behind, can't hide its waits that way.
+Requests are sent at times drawn in advance, independent of earlier answers, and each
+latency counts from the intended time of sending. Otherwise a system that stalls, or a
+sender that falls behind, would hide the waits (coordinated omission).
 """
 
 import asyncio
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Sample:
-    """Hold what became of one request; seconds count from its intended time."""
+    """Hold the outcome of one request; seconds count from its intended time."""
 
     label: str
     sent_at: float
@@ -72,10 +72,11 @@
 
     seconds: float
     samples: list[Sample] = field(default_factory=list)
-    # Longest time by which the sender itself fell behind.
+    # Longest delay of the sender itself, in seconds.
     tardiness: float = 0.0
 
     def chosen(self, label=None, outcome=Outcome.ANSWERED):
+        """Return the samples with an outcome, of one label or all."""
         return [
             each
             for each in self.samples
@@ -83,14 +84,17 @@
         ]
 
     def percentile(self, share, label=None, *, settle=0.0):
-        """Return a percentile of the seconds of answered requests sent since then."""
+        """Return a percentile of the latencies of answered requests, in seconds.
+
+        Requests sent in the first `settle` seconds are left out.
+        """
         values = [each.seconds for each in self.chosen(label) if each.sent_at >= settle]
         return percentile(values, share)
 
     def received(self, label=None, *, settle=0.0):
-        """Return the tokens a second that came in time, while requests were sent.
+        """Return the tokens per second that arrived in time while requests were sent.
 
-        What came in the first seconds, while the system settled, is left out.
+        Tokens that arrived in the first `settle` seconds are left out.
         """
         useful = sum(
             each.tokens
@@ -100,6 +104,7 @@
         return useful / (self.seconds - settle)
 
     def summary(self):
+        """Return the results in a form that JSON can hold."""
         labels = sorted({each.label for each in self.samples})
         return {
             "requests": len(self.samples),
@@ -110,6 +115,7 @@
         }
 
     def summary_of(self, label):
+        """Return the outcomes, rates and latencies of one label."""
         outcomes = {
             outcome.value: len(found)
             for outcome in Outcome
@@ -129,7 +135,7 @@
 
 
 def percentile(values, share):
-    """Return a percentile of seconds through an HDR histogram; 0 without values."""
+    """Return a percentile of seconds by an HDR histogram; 0 without values."""
     histogram = HdrHistogram(1, HIGHEST_MICROSECONDS, DIGITS)
     for value in values:
         histogram.record_value(max(1, int(value * MICROSECONDS)))
@@ -151,7 +157,7 @@
         self.loop = asyncio.get_running_loop()
 
     async def run(self, mixes, seconds):
-        """Send for some seconds and wait for every answer; return Results."""
+        """Send the mixes for some seconds and return the results of all requests."""
         self.results = Results(seconds)
         begin = self.loop.time()
         for at, mix, job in self.plan(mixes, seconds):
@@ -164,13 +170,14 @@
         return self.results
 
     async def wait_until(self, due):
+        """Wait until a time, and record by how much it has passed already."""
         delay = due - self.loop.time()
         if delay > 0:
             await asyncio.sleep(delay)
         self.results.tardiness = max(self.results.tardiness, -delay)
 
     def plan(self, mixes, seconds):
-        """Return all requests in order of time: Poisson arrivals for each mix."""
+        """Return all requests in order of time, with Poisson arrivals for each mix."""
         planned = []
         for number, mix in enumerate(mixes):
             at = self.random.expovariate(mix.rate) if mix.rate else seconds
@@ -181,14 +188,17 @@
         return [(at, mix, job) for at, _, mix, job in planned]
 
     def draw(self, mix):
+        """Draw a job of a mix by the shares."""
         shares = [job.share for job in mix.jobs]
         return self.random.choices(mix.jobs, shares)[0]
 
     def next_url(self):
+        """Return the URL of the next entry in turn."""
         self.turn += 1
         return self.urls[self.turn % len(self.urls)]
 
     async def send(self, mix, job, due, at):
+        """Send one request and record its sample."""
         body = {
             "model": MODEL,
             "prompt": job.prompt,
@@ -235,7 +245,7 @@
 
 
 def open_session():
-    """Return a client session that is no bottleneck itself."""
+    """Return a client session without limits on connections and time."""
     connector = aiohttp.TCPConnector(limit=0)
     return aiohttp.ClientSession(
         connector=connector, timeout=aiohttp.ClientTimeout(total=None)
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/logfiles.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/logfiles.py
@@ -1,11 +1,11 @@
-"""Read what processes of a site logged, with its times."""
+"""Read events and their times from the logs of a site's processes."""
 
 import datetime
 import json
 
 
 def read_events(member, message):
-    """Return the log lines of a member that carry a message, decoded."""
+    """Return the decoded log lines of a member that have a message."""
     found = []
     for line in member.log_path.read_text().splitlines():
         # A crash prints its traceback between the JSON lines.
@@ -17,18 +17,21 @@
 
 
 def moment(event):
-    """Return the time of a log line in seconds; one machine has one clock."""
+    """Return the time of a log line in seconds.
+
+    Times of different processes compare, as a site runs on one machine.
+    """
     return datetime.datetime.fromisoformat(event["time"]).timestamp()
 
 
 def moments_in_force(member):
-    """Return when each version came in force at a member, by version."""
+    """Return the time at which each version came in force at a member."""
     events = read_events(member, "version in force")
     return {event["version"]: moment(event) for event in events}
 
 
 def moments_accepted(entries):
-    """Return when each version was accepted, by version."""
+    """Return the time at which each version was accepted."""
     events = [
         event for entry in entries for event in read_events(entry, "change accepted")
     ]
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/member.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/member.py
@@ -1,20 +1,21 @@
-"""Own the processes of a site, each at a loopback address of its own."""
+"""Start and stop the processes of a site, each at its own loopback address."""
 
 import asyncio
 import random
 import socket
 
 PORT = 7000
+# Bound as long as a site has its network.
 GUARD_PORT = 6999
 STOP_SECONDS = 70.0
-# Last lines of a log that tell why a process did not come up.
+# Last lines of the log that are shown when a process did not start.
 LOG_LINES = 20
 
 
 def reserve_network():
-    """Take a /24 of loopback addresses that no other site on this machine uses.
+    """Return the prefix of an unused /24 of loopback addresses and its guard socket.
 
-    The socket that is returned holds the reservation until it is closed.
+    The network stays reserved on this machine until the socket is closed.
     """
     chooser = random.SystemRandom()
     while True:
@@ -29,9 +30,9 @@
 
 
 class MemberNotUpError(Exception):
-    """Report a process that takes no connections, with the end of what it logged.
+    """A process accepts no connections; the message has the end of its log.
 
-    A site's logs are deleted with it, and nobody could tell why it did not come up.
+    A site's logs are deleted with the site, so the cause would be lost otherwise.
     """
 
     def __init__(self, member):
@@ -42,7 +43,7 @@
 
 
 class Member:
-    """Own one process of the site."""
+    """Run one process of the site and hold its command, address and log."""
 
     __slots__ = ("command", "host", "log_path", "name", "process")
 
@@ -54,13 +55,14 @@
         self.process = None
 
     async def start(self):
+        """Start the process, which appends its output to the log file."""
         with self.log_path.open("ab") as log:
             self.process = await asyncio.create_subprocess_exec(
                 *self.command, stdin=asyncio.subprocess.DEVNULL, stdout=log, stderr=log
             )
 
     async def stop(self):
-        """Ask the process to stop and wait; kill it when it doesn't."""
+        """Send SIGTERM and wait; kill the process if it doesn't end in time."""
         if self.process is None or self.process.returncode is not None:
             return
         self.process.terminate()
@@ -71,15 +73,18 @@
             await self.kill()
 
     async def kill(self):
+        """Kill the process and wait until it has ended."""
         self.process.kill()
         await self.process.wait()
 
     @property
     def url(self):
+        """Return the base URL of the process."""
         return f"http://{self.host}:{PORT}"
 
 
 async def listens(host):
+    """Return whether a host accepts connections."""
     try:
         _, writer = await asyncio.open_connection(host, PORT)
     except OSError:
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/popularity.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/popularity.py
@@ -1,4 +1,4 @@
-"""Make traces of experts' popularity, and of ranks' speeds, from a seed."""
+"""Generate seeded traces of experts' popularity and ranks' speeds."""
 
 import enum
 import math
@@ -7,7 +7,7 @@
 INTERVAL_SECONDS = 60.0
 DAY_SECONDS = 86400.0
 ZIPF_EXPONENT = 0.8
-# Measured loads of an interval differ from popularity by about this part.
+# Standard deviation of an interval's loads from popularity, as a share.
 NOISE = 0.01
 DRIFT_DEPTH = 0.7
 NOON_HOURS = (12.0, 14.0)
@@ -17,7 +17,7 @@
 
 
 class Pattern(enum.StrEnum):
-    """Name the patterns of popularity."""
+    """Patterns of popularity or speed over a trace."""
 
     STEADY = "steady"
     DRIFT = "drift"
@@ -36,7 +36,7 @@
 
 
 class Trace:
-    """Hold what stays the same through one trace."""
+    """Generate one trace from popularity that is drawn once per layer."""
 
     __slots__ = ("base", "experts", "pattern", "phases", "random", "ranks", "shifted")
 
@@ -53,7 +53,7 @@
         self.shifted = [self.shift(layer) for layer in self.base]
 
     def shift(self, layer):
-        """Give the hottest experts' popularity to others, as noon does."""
+        """Return the layer with the hottest experts' popularity swapped with others."""
         order = sorted(range(self.experts), key=layer.__getitem__, reverse=True)
         hot = order[:SHIFTED_EXPERTS]
         cold = self.random.sample(order[SHIFTED_EXPERTS:], SHIFTED_EXPERTS)
@@ -63,7 +63,7 @@
         return changed
 
     def ticks(self, begin, count):
-        """Yield intervals from a time of day on, in seconds."""
+        """Yield some intervals, the first at a time of day in seconds."""
         shifted = False
         hold = 0
         for index in range(count):
@@ -80,6 +80,7 @@
             yield Tick(at, self.loads(at, shifted), self.speeds(slow))
 
     def loads(self, at, shifted):
+        """Return the loads of an interval by layer and expert, with noise."""
         layers = self.shifted if shifted else self.base
         if self.pattern is Pattern.DRIFT:
             layers = self.drifted(at)
@@ -89,6 +90,7 @@
         ]
 
     def drifted(self, at):
+        """Return the popularity at a time of day under the drift pattern."""
         angle = 2 * math.pi * at / DAY_SECONDS
         return [
             [
@@ -99,6 +101,7 @@
         ]
 
     def speeds(self, slow):
+        """Return the speeds of the ranks; `slow` matters to one pattern only."""
         speeds = [1.0] * self.ranks
         if self.pattern is Pattern.SLOW_RANK and slow:
             speeds[SLOW_RANK] = SLOW_SPEED
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/report.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/report.py
@@ -25,6 +25,7 @@
 
 
 def section(experiment):
+    """Return the Markdown section of an experiment: story, table and plot."""
     lines = "".join(row(figure) for figure in experiment.figures)
     text = f"## {experiment.name}\n\n{experiment.story}\n\n{TABLE_HEAD}{lines}"
     if experiment.series:
@@ -33,6 +34,7 @@
 
 
 def row(figure):
+    """Return a figure as a row of the table."""
     baseline = "" if figure.baseline is None else f"{figure.baseline:.4g}"
     cells = (
         figure.name,
@@ -46,10 +48,11 @@
 
 
 def write_plot(path, experiment):
+    """Plot the series of an experiment to an SVG file."""
     x_title, y_title = experiment.axes
     chart = pygal.XY(title=experiment.name, x_title=x_title, y_title=y_title)
     for name, points in experiment.series.items():
         chart.add(name, points)
-    # The file must open without a network: pygal's scripts come from a remote host.
+    # Without pygal's scripts, which a viewer would load from a remote host.
     chart.js = ()
     chart.render_to_file(str(path))
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/site.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/site.py
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True)
 class SiteShape:
-    """Say how large a site is."""
+    """Hold the size of a site and the settings of its processes."""
 
     zones: int = 3
     entries: int = 2
@@ -43,20 +43,21 @@
     step_seconds: float = 0.01
     cold_limit: int = 2
     warm_limit: int = 16
-    # Of an engine's step, for each sequence in the batch; and the largest batch.
+    # Added to an engine's step for each sequence in the batch.
     sequence_seconds: float = 0.0
+    # Sequences in an engine's largest batch.
     batch: int = 256
-    # Organisations' weights; 1 for those not named.
+    # Weights by organisation; 1 for those not listed.
     weights: dict[str, float] = field(default_factory=dict)
-    # Laid over the settings of every entry and every agent.
+    # Override the settings of every entry and every agent.
     entry_settings: dict[str, object] = field(default_factory=dict)
     agent_settings: dict[str, object] = field(default_factory=dict)
-    # Whether each connection between members goes through a proxy that can spoil it.
+    # Whether connections between members pass through proxies that inject faults.
     proxied: bool = False
 
 
 class Site:
-    """Own all processes of a small site."""
+    """Run the processes of a small site: platform, endpoints, agents and entries."""
 
     __slots__ = (
         "agents",
@@ -91,7 +92,7 @@
         self.agents = []
         self.endpoints = []
         self.proxies = {}
-        # Protocol step at which a member, by name, kills itself.
+        # Protocol step at which a member kills itself, by name.
         self.fault_steps = {}
         self.platform = None
         self.session = None
@@ -102,6 +103,7 @@
         self.document = self.build_document(organisations)
 
     def build_document(self, organisations):
+        """Return the configuration document with two services and the zones."""
         services = [
             documents.Service("advice", documents.ServiceKind.ENGINE, ["advice-1"]),
             documents.Service("bookings", documents.ServiceKind.PLAIN, []),
@@ -122,6 +124,7 @@
         return documents.Document(services, hashed, zones)
 
     def zone(self, index):
+        """Return the name of the zone of a process by its index."""
         return f"zone-{index % self.shape.zones + 1}"
 
     async def __aenter__(self):
@@ -137,6 +140,7 @@
         await self.stop()
 
     async def start(self):
+        """Start all processes and wait until they serve."""
         self.platform = await self.start_standin("platform", "platform")
         await self.wait_ready(f"{self.platform.url}/instances")
         await self.apply(self.document)
@@ -148,6 +152,7 @@
             await self.wait_ready(f"{endpoint.url}/healthz")
 
     async def start_endpoints(self):
+        """Start the engines and plain services, each with its agent."""
         shape = self.shape
         for index in range(shape.engines):
             options = ("--step-seconds", shape.step_seconds)
@@ -161,6 +166,7 @@
             await self.start_agent(service, "bookings", self.zone(index))
 
     async def start_standin(self, name, kind, *options):
+        """Start a stand-in and return its member."""
         module = ["-m", "fescuedrum_bench", "standin", kind]
         member = self.add(name, module)
         member.command += ["--host", member.host, "--port", str(PORT)]
@@ -171,6 +177,7 @@
         return member
 
     async def start_agent(self, endpoint, service, zone):
+        """Start the agent of an endpoint and list it at the platform."""
         name = f"agent-{endpoint.name}"
         settings = {
             "endpoint": endpoint.name,
@@ -195,6 +202,7 @@
         )
 
     async def start_entry(self, index, seeds=(), *, listed=True):
+        """Start an entry and, unless told otherwise, list it at the platform."""
         zone = self.zone(index)
         member = self.add(
             f"entry-{index}", ["-m", "fescuedrum_entry.management", "serve"]
@@ -204,19 +212,20 @@
         self.entries.append(member)
         if not listed:
             return
-        line = Instance(
+        instance = Instance(
             member.name, "entry", zone, member.host, PORT, peer_port=PEER_PORT
         )
-        await self.list_instance(line)
+        await self.list_instance(instance)
 
     def entry_settings(self, seeds):
+        """Return the settings that only entries have."""
         salted = documents.KeyHash(
             "salt", documents.hash_key("salt", self.operator_token)
         )
         operator = Account("operator", Role.OPERATOR, [salted])
         return {
             "peer_port": PEER_PORT,
-            # No balancer stands before a small site.
+            # No load balancer in front of the site needs notice of a stop.
             "notice_seconds": 0.0,
             "console_secret": self.peer_secret,
             "operators": [schema.dump(operator)],
@@ -227,6 +236,7 @@
         }
 
     async def launch(self, member, zone, settings):
+        """Write a member's settings to its file and start it."""
         path = self.directory / f"{member.name}.json"
         common = {
             "name": member.name,
@@ -245,7 +255,7 @@
         await member.start()
 
     async def through_proxy(self, name, host):
-        """Return the address under which others reach a host."""
+        """Return the address at which others reach a host, if need be a proxy's."""
         if not self.shape.proxied:
             return host
         proxy = FaultProxy(host, PORT)
@@ -255,11 +265,12 @@
         return address
 
     async def proxied_url(self, name, member):
+        """Return the URL at which others reach a member."""
         host = await self.through_proxy(name, member.host)
         return f"http://{host}:{PORT}"
 
     async def restart(self, member):
-        """Start a member that is dead again, without its fault."""
+        """Start a member again that has ended, without its fault."""
         path = self.directory / f"{member.name}.json"
         settings = json.loads(path.read_text())
         settings.pop("fault_step", None)
@@ -267,6 +278,7 @@
         await member.start()
 
     def add(self, name, arguments):
+        """Return a new member with an address and a log file, not started."""
         host = self.take_host()
         log_path = self.directory / f"{name}.log"
         member = Member(name, host, [sys.executable, *arguments], log_path)
@@ -274,21 +286,23 @@
         return member
 
     def take_host(self):
+        """Return the next unused address of the site's network."""
         host = f"{self.prefix}.{self.next_host}"
         self.next_host += 1
         return host
 
     def members_of(self, kind):
-        """Return the endpoints of a kind, in the order of their start."""
+        """Return the endpoints of a kind in the order of their start."""
         return [each for each in self.endpoints if each.name.startswith(kind)]
 
     async def list_instance(self, instance):
+        """Add or replace an instance in the platform's list."""
         url = f"{self.platform.url}/instances/{instance.name}"
         async with self.session.put(url, json=schema.dump(instance)) as response:
             response.raise_for_status()
 
     async def apply(self, document):
-        """Put a document in force as the platform's operators would."""
+        """Apply a document as the platform's operators would."""
         applier = ChangeApplier(PlatformClient(self.platform.url, self.session))
         proposal = Proposal(
             self.version,
@@ -296,14 +310,14 @@
             change=f"site-{self.version + 1}",
             who="site",
             when=datetime.datetime.now(datetime.UTC).isoformat(),
-            # A bench takes out what it likes.
+            # No safety rule may refuse a change of the bench.
             allowed=list(Allowance),
         )
         accepted = await applier.apply(proposal)
         self.version = accepted.version
 
     async def set_zone(self, name, state):
-        """Take a zone out or bring it back by a change of the document."""
+        """Set the state of a zone by a change of the document."""
         document = copy.deepcopy(self.document)
         for zone in document.zones:
             if zone.name == name:
@@ -311,7 +325,7 @@
         await self.apply(document)
 
     async def count_started(self, zone):
-        """Count the requests that a zone's engines have begun."""
+        """Return the number of requests that the engines of a zone have begun."""
         engines = [
             member
             for index, member in enumerate(self.members_of("engine"))
@@ -321,39 +335,41 @@
         return sum(load["running"] + load["answered"] for load in loads)
 
     async def count_executions(self):
-        """Count the plain services' executions of each reference."""
+        """Return the plain services' executions of each reference."""
         total = Counter()
         for member in self.members_of("service"):
             total += Counter(await self.fetch_json(f"{member.url}/executions"))
         return total
 
     async def wait_whole(self):
-        """Wait until every member serves again."""
+        """Wait until every agent and endpoint listens and every entry is ready."""
         for member in [*self.agents, *self.endpoints]:
             await self.wait_listening(member)
         for entry in self.entries:
             await self.wait_ready(f"{entry.url}/readyz")
 
     async def wait_in_force(self, version):
-        """Wait until every entry hears all its members run a version."""
+        """Wait until every entry and all members known to it run a version."""
         async with asyncio.timeout(READY_SECONDS):
             for entry in self.entries:
                 while not await self.runs(entry, version):
                     await asyncio.sleep(0.05)
 
     async def runs(self, entry, version):
+        """Return whether an entry and all its members run a version."""
         _, status = await self.operate(entry, "status")
         members = status["members"]
         lowest = min([status["in_force"], *(each["version"] for each in members)])
         return lowest >= version and not any(each["silent"] for each in members)
 
     async def wait_ready(self, url):
+        """Wait until a URL answers with status 200."""
         async with asyncio.timeout(READY_SECONDS):
             while not await self.answers(url):
                 await asyncio.sleep(0.05)
 
     async def wait_listening(self, member):
-        """Wait until a process takes connections: entries are often up first."""
+        """Wait until a process accepts connections; raise MemberNotUpError if late."""
         try:
             async with asyncio.timeout(READY_SECONDS):
                 while not await listens(member.host):
@@ -362,6 +378,7 @@
             raise MemberNotUpError(member) from None
 
     async def answers(self, url):
+        """Return whether a URL answers with status 200."""
         try:
             async with self.session.get(url) as response:
                 return response.status == 200
@@ -369,7 +386,7 @@
             return False
 
     async def stop(self):
-        """Stop every process: entries first, then agents, endpoints and platform."""
+        """Stop entries first, then agents and endpoints, then the platform."""
         others = [*self.agents, *self.endpoints]
         for group in (self.entries, others, list(self.members.values())):
             await asyncio.gather(*(member.stop() for member in group))
@@ -380,9 +397,9 @@
         self.temporary.cleanup()
 
     async def operate(self, entry, path, data=None):
-        """Call the operators' API of an entry: (status, decoded answer)."""
-        # A kept connection may end with the entry's process just as a call begins on
-        # it, which would look like a call that was cut.
+        """Call the operators' API of an entry; return status and decoded answer."""
+        # A kept-alive connection may close with the entry's process just as a call
+        # begins on it, which would look like a call that the entry aborted.
         headers = {
             "Authorization": f"Bearer {self.operator_token}",
             "Connection": "close",
@@ -395,11 +412,12 @@
             return response.status, await response.json()
 
     async def set_faults(self, **faults):
-        """Order faults of the platform's stand-in."""
+        """Set the faults of the platform's stand-in."""
         url = f"{self.platform.url}/faults"
         async with self.session.put(url, json=faults) as response:
             response.raise_for_status()
 
     async def fetch_json(self, url):
+        """Return the decoded answer of a GET."""
         async with self.session.get(url) as response:
             return await response.json()
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/trial.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/trial.py
@@ -1,4 +1,4 @@
-"""Run one policy on a fresh site of real processes and return what callers received."""
+"""Run a load on a new site of real processes and return what callers received."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -14,12 +14,12 @@
 WARM_UP_SECONDS = 4.0
 WARM_UP_RATE = 14.0
 
-# What the policies under test replace, as settings.
+# Settings that turn off admission and fair queueing, for baselines.
 NO_ADMISSION = {"queue_policy": "fifo", "admission": False, "queue_limit": 100_000}
 
 
 def build_shape(engines, *, entry=None, agent=None, **changes):
-    """Return a site whose engines generate some 1,300 tokens a second each."""
+    """Return the shape of a site; an engine generates some 1,300 tokens a second."""
     values = {
         "engines": engines,
         "services": 0,
@@ -34,7 +34,7 @@
 
 
 def capacity(shape):
-    """Return the tokens a second that a site's engines generate with full batches."""
+    """Return the tokens per second that a site's engines generate with full batches."""
     engine = EngineShape(
         step_seconds=shape.step_seconds,
         sequence_seconds=shape.sequence_seconds,
@@ -45,13 +45,13 @@
 
 @dataclass(slots=True)
 class Trial:
-    """Describe one run: a site, what is planted in it, and what is sent."""
+    """Describe one run: the site, its injected faults and the load."""
 
     shape: SiteShape
     mixes: list[Mix]
     seconds: float
     seed: int = 1
-    # Faults of engines by name, planted after the warm-up.
+    # Faults by name of the engine, injected after the warm-up.
     faults: dict[str, dict] = field(default_factory=dict)
     warm_up: bool = True
 
@@ -66,13 +66,14 @@
 
 
 async def run_trial(trial):
+    """Run a trial on a new site and return its outcomes."""
     names = list(dict.fromkeys(mix.organisation for mix in trial.mixes))
     async with Site(trial.shape, names) as site, open_session() as session:
         urls = [entry.url for entry in site.entries]
         sender = OpenLoop(session, urls, trial.seed)
         if trial.warm_up:
             await warm_up(sender, trial, names)
-        await plant(site, trial.faults)
+        await inject_faults(site, trial.faults)
         before = await count(site, "tokens")
         results = await sender.run(trial.mixes, trial.seconds)
         tokens = await count(site, "tokens") - before
@@ -81,16 +82,17 @@
 
 
 async def warm_up(sender, trial, names):
-    """Let every engine warm up and its agent learn how much it carries."""
+    """Send load until engines are warm and agents have found their limits."""
     rate = WARM_UP_RATE * trial.shape.engines / len(names)
     jobs = [Job(WARM_UP_TOKENS)]
     mixes = [Mix(name, f"{name}.secret", rate, jobs) for name in names]
     await sender.run(mixes, WARM_UP_SECONDS)
-    # Full batches once, so that no limit is met for the first time while measuring.
+    # Fill the batches once, so that no limit is first reached during the measurement.
     await sender.run(trial.mixes, WARM_UP_SECONDS / 2)
 
 
-async def plant(site, faults):
+async def inject_faults(site, faults):
+    """Set the faults of engines by name."""
     for name, plan in faults.items():
         url = f"{site.members[name].url}/faults"
         async with site.session.put(url, json=plan) as response:
@@ -98,6 +100,7 @@
 
 
 async def count(site, field_name):
+    """Return the sum of a counter over the engines' load reports."""
     loads = await asyncio.gather(
         *(site.fetch_json(f"{engine.url}/load") for engine in engines_of(site))
     )
@@ -105,4 +108,5 @@
 
 
 def engines_of(site):
+    """Return the engines among the endpoints of a site."""
     return [each for each in site.endpoints if each.name.startswith("engine")]
