--- a/packages/fescuedrum-bench/src/fescuedrum_bench/commands/__init__.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/commands/__init__.py
@@ -1,1 +1,1 @@
-"""Hold one module for each command."""
+"""The commands of the bench, one module each."""
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/commands/capacity.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/commands/capacity.py
@@ -15,7 +15,9 @@
         parser.add_argument("--run", default="build/capacity.json")
         parser.add_argument("--page", default="docs/capacity-agents.md")
         parser.add_argument(
-            "--page-only", action="store_true", help="write the page from an old run"
+            "--page-only",
+            action="store_true",
+            help="write the page from an earlier run",
         )
 
     def handle(self, arguments):
@@ -29,6 +31,7 @@
 
 
 async def measure():
+    """Measure all slopes and return the run as JSON."""
     slopes = [*measures.measure_codec(), *measures.measure_document()]
     slopes.append(measures.measure_planner())
     slopes += await measures.measure_path()
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/commands/chaos.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/commands/chaos.py
@@ -1,4 +1,4 @@
-"""Run a site under random faults and judge what its callers were told."""
+"""Run a site under random faults and check the answers to its callers."""
 
 import asyncio
 import dataclasses
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/commands/demo.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/commands/demo.py
@@ -1,4 +1,4 @@
-"""Show a small site at work."""
+"""Demonstrate a small site, also while a zone is out."""
 
 import asyncio
 import dataclasses
@@ -20,7 +20,7 @@
 
 
 class Command:
-    help = "start a small site, send requests, show what happened"
+    help = "start a small site, send requests and show their outcomes"
 
     def add_arguments(self, parser):
         parser.add_argument(
@@ -32,6 +32,7 @@
 
 
 async def demonstrate(keep_running):
+    """Run the demonstration, or keep a site up until it is stopped."""
     async with Site(SiteShape(services=2), ORGANISATIONS) as site:
         if keep_running:
             await stay_up(site)
@@ -46,6 +47,7 @@
 
 
 async def stay_up(site):
+    """Print the site's addresses and keys and wait for the signal to stop."""
     for entry in site.entries:
         print(f"callers: {entry.url}/v1/completions and {entry.url}/services/bookings/")
         print(f"console: {entry.url}/console/")
@@ -60,7 +62,10 @@
 
 
 async def take_zone_out(site):
-    """Take a zone out, send requests, bring it back; return records and strays."""
+    """Send requests while a zone is out and after it is back.
+
+    Return their records and the number of requests that the zone began while out.
+    """
     await site.set_zone(ZONE_OUT, ZoneState.OUT)
     await site.wait_in_force(site.version)
     begun = await site.count_started(ZONE_OUT)
@@ -76,6 +81,7 @@
 
 
 async def send_requests(site, phase):
+    """Send requests of every kind through every entry and return their records."""
     callers = [
         Caller(site.session, entry.url, name, site.keys[name])
         for name in ORGANISATIONS
@@ -89,7 +95,7 @@
                 caller.complete(f"summary for {label}"),
                 caller.stream(f"advice for {label}"),
                 caller.look_up(f"item-{index}"),
-                # Both entries get the same key: the booking must be made once.
+                # All entries get the same key, so the booking must be made once.
                 caller.book(f"{label}-order"),
                 caller.book(f"{label}-walk-in-{number}", keyed=False),
             ]
@@ -97,6 +103,7 @@
 
 
 def show(title, records):
+    """Print the outcomes by organisation and kind of request."""
     print(f"\n{title}:")
     for name in ORGANISATIONS:
         for kind in KINDS:
@@ -104,21 +111,23 @@
 
 
 def report(records, executions, strayed):
+    """Print the verdict on all records and return the exit code."""
     verdict = judge(records, executions)
     sent = sum(record.kind == "booking" for record in records)
     print(f"\n{sent} bookings were sent and {len(executions)} made: repeats of a key")
     print("through another entry got the recorded answer.")
     print(json.dumps(dataclasses.asdict(verdict)))
-    every_answered = verdict.answered == verdict.requests
-    kept = verdict.kept and every_answered and strayed == 0
+    all_answered = verdict.answered == verdict.requests
+    kept = verdict.kept and all_answered and strayed == 0
     return EXIT_OK if kept else EXIT_FAILURE
 
 
 def print_line(name, kind, records):
+    """Print the outcomes of one organisation's requests of one kind."""
     chosen = [
         each for each in records if (each.organisation, each.kind) == (name, kind)
     ]
     outcomes = Counter(each.outcome for each in chosen)
-    told = ", ".join(f"{count} {outcome}" for outcome, count in outcomes.items())
+    counts = ", ".join(f"{count} {outcome}" for outcome, count in outcomes.items())
     slowest = max(each.seconds for each in chosen)
-    print(f"  {name:18} {kind:10} {told:22} slowest {slowest * 1000:5.0f} ms")
+    print(f"  {name:18} {kind:10} {counts:22} slowest {slowest * 1000:5.0f} ms")
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/commands/docs.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/commands/docs.py
@@ -1,4 +1,4 @@
-"""Write the reference pages that are made from the classes."""
+"""Write the reference pages that are generated from the classes."""
 
 import json
 import pathlib
@@ -46,7 +46,7 @@
 
 
 def build_pages():
-    """Return the text of each page by its file name."""
+    """Return the text of each page by file name."""
     schema = json_schema(document.Document, DOCUMENT_TITLE)
     return {
         "document.schema.json": json.dumps(schema, indent=2) + "\n",
@@ -72,8 +72,9 @@
 
 
 def describe_metrics():
+    """Return the page of the metrics of all processes."""
     entry, agent, gateway = EntryMetrics(), AgentMetrics(), GatewayMetrics()
-    # Gauges are only declared here: nobody reads them, so they need no process.
+    # The gauges are declared but never read, so they need no process.
     entry.watch(None)
     agent.watch(None)
     gateway.watch(None)
@@ -86,12 +87,16 @@
 
 
 class Command:
-    help = "write the reference pages made from the classes"
+    help = "write the reference pages generated from the classes"
 
     def add_arguments(self, parser):
-        parser.add_argument("--directory", default="docs", help="where to write them")
         parser.add_argument(
-            "--check", action="store_true", help="only tell whether they are current"
+            "--directory", default="docs", help="directory of the pages"
+        )
+        parser.add_argument(
+            "--check",
+            action="store_true",
+            help="only check whether the pages are current",
         )
 
     def handle(self, arguments):
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/commands/load.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/commands/load.py
@@ -25,14 +25,23 @@
             action="append",
             default=[],
             metavar="NAME:RATE[:KEY]",
-            help="sender and its requests a second, repeatable",
+            help="organisation and its requests per second, repeatable",
         )
         parser.add_argument("--seconds", type=float, default=10.0)
         parser.add_argument(
-            "--tokens", type=int, nargs="+", default=[8, 8, 64], help="drawn evenly"
+            "--tokens",
+            type=int,
+            nargs="+",
+            default=[8, 8, 64],
+            help="tokens of a request, drawn evenly",
         )
         parser.add_argument("--prompt-bytes", type=int, default=64)
-        parser.add_argument("--streamed", type=float, default=0.0, help="share, 0 to 1")
+        parser.add_argument(
+            "--streamed",
+            type=float,
+            default=0.0,
+            help="share of streamed requests, 0 to 1",
+        )
         parser.add_argument("--deadline", type=float, default=10.0, help="in seconds")
         parser.add_argument("--seed", type=int, default=1)
 
@@ -46,6 +55,7 @@
 
 
 async def run(arguments):
+    """Send load to the given entries or to a new site and return the results."""
     mixes = [
         build_mix(text, arguments)
         for text in arguments.organisation or DEFAULT_ORGANISATIONS
@@ -60,12 +70,14 @@
 
 
 async def send(urls, mixes, arguments):
+    """Send load to entries and return the results."""
     async with open_session() as session:
         loop = OpenLoop(session, urls, arguments.seed)
         return await loop.run(mixes, arguments.seconds)
 
 
 def build_mix(text, arguments):
+    """Return the mix that NAME:RATE[:KEY] describes."""
     name, rate, *key = text.split(":")
     prompt = "p" * arguments.prompt_bytes
     plain = 1 - arguments.streamed
