--- a/packages/fescuedrum-bench/src/fescuedrum_bench/capacity/__init__.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Measure slopes on this machine and work out the size to design for from them."""
+"""Measure slopes on this machine and compute the costs at the design size."""
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/capacity/links.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/capacity/links.py
@@ -1,4 +1,4 @@
-"""Measure what heartbeats cost an entry against the number of agents it links to."""
+"""Measure the cost of heartbeats for an entry by the number of linked agents."""
 
 import asyncio
 
@@ -14,7 +14,7 @@
 from fescuedrum_bench.site import Site, SiteShape
 
 AGENT_COUNTS = (10, 30, 100, 300)
-# Below the pacing of heartbeats, so that their number follows the links.
+# Too few for the pacing of heartbeats, so their rate is proportional to the links.
 UNPACED_COUNTS = (8, 16, 24, 32)
 FIRST_HOST = 100
 HOSTS = 100
@@ -24,7 +24,7 @@
 
 
 class AgentHost:
-    """Serve many agents from this process; only the entry's side is measured."""
+    """Run many agents in this process, as only the entry is measured."""
 
     __slots__ = ("agents", "servers", "site", "tasks")
 
@@ -35,11 +35,12 @@
         self.tasks = []
 
     async def grow(self, count):
-        """Start agents until there are count of them, and list each."""
+        """Start and list agents until there are `count` of them."""
         while len(self.agents) < count:
             await self.add(len(self.agents))
 
     async def add(self, index):
+        """Start one agent and list it at the platform."""
         host = f"{self.site.prefix}.{FIRST_HOST + index % HOSTS}"
         port = PORT + index // HOSTS
         settings = AgentSettings(
@@ -62,11 +63,13 @@
         await self.site.list_instance(instance)
 
     async def wait_linked(self):
+        """Wait until every agent has a session with an entry."""
         async with asyncio.timeout(CONNECT_SECONDS):
             while not all(agent.sessions for agent in self.agents):
                 await asyncio.sleep(0.1)
 
     async def stop(self):
+        """Stop all agents and close their connections."""
         await cancel(self.tasks)
         for agent in self.agents:
             for session in list(agent.sessions):
@@ -76,7 +79,7 @@
 
 
 async def measure_links():
-    """Fit the entry's processor time to heartbeats, and its memory to links."""
+    """Return the slopes of the entry by heartbeat (processor) and link (memory)."""
     shape = SiteShape(zones=1, entries=1, engines=0, services=0)
     processor, memory = [], []
     async with Site(shape, ["club"]) as site:
@@ -100,7 +103,7 @@
 
 
 async def observe(entry):
-    """Return the processor seconds that a process spends in a second at rest."""
+    """Return the processor seconds that an idle process spends per second."""
     before = cpu_seconds(entry)
     await asyncio.sleep(OBSERVED_SECONDS)
     return (cpu_seconds(entry) - before) / OBSERVED_SECONDS
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/capacity/measures.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/capacity/measures.py
@@ -1,4 +1,4 @@
-"""Measure each slope that the capacity page stands on."""
+"""Measure the slopes from which the capacity page is computed."""
 
 import asyncio
 import random
@@ -28,24 +28,26 @@
 LAYERS = 8
 CONCURRENT_CALLS = 16
 CONCURRENT_STREAMS = 64
-# One engine gets far more here than at any site, and would be paced.
+# Pacing would limit one engine that gets far more requests than in production.
 UNPACED = {"pace_seconds": 0.0}
-# Above the agent's 5 ms, so that each token travels alone as it would at 34 ms.
+# Above the agent's 5 ms for merging, so each token is sent alone, as at 34 ms.
 SLOW_STEP_SECONDS = 0.008
 SETTLE_SECONDS = 0.5
 
 
 def cpu_seconds(member):
+    """Return the processor time that a member has spent."""
     times = psutil.Process(member.process.pid).cpu_times()
     return times.user + times.system
 
 
 def memory_bytes(member):
+    """Return the resident memory of a member."""
     return psutil.Process(member.process.pid).memory_info().rss
 
 
 def measure_codec():
-    """Measure processor time of one encode and one decode against a chunk's size."""
+    """Return the slopes of the time to encode and decode a chunk by its size."""
     encode_points, decode_points = [], []
     for size in CHUNK_SIZES:
         chunk = Chunk(number=1000, attempt=1, offset=100_000, data=bytes(size))
@@ -59,6 +61,7 @@
 
 
 def time_one(action):
+    """Return the mean processor time of a call."""
     begin = time.process_time()
     for _ in range(CODEC_ROUNDS):
         action()
@@ -77,7 +80,7 @@
 
 
 def measure_document():
-    """Measure the document's size and the time to take it against organisations."""
+    """Return the slopes of the document's size and parse time by organisation."""
     sizes, times = [], []
     for count in ORGANISATION_COUNTS:
         body = documents.encode_canonical(build_document(count))
@@ -93,6 +96,7 @@
 
 
 def build_document(organisations):
+    """Return a document with a number of organisations."""
     salted = documents.KeyHash("salt", documents.hash_key("salt", "key"))
     return documents.Document(
         services=[documents.Service("advice", documents.ServiceKind.ENGINE, ["m"])],
@@ -105,7 +109,7 @@
 
 
 def measure_planner():
-    """Measure the processor time of one whole plan against the group's ranks."""
+    """Return the slope of the time to plan a whole map by the ranks of the group."""
     chooser = random.Random(1)
     points = []
     for ranks in RANK_COUNTS:
@@ -120,7 +124,7 @@
 
 
 async def measure_path():
-    """Measure entry and agent against requests, tokens and idle connections."""
+    """Return the slopes of entry and agent by request and idle connection."""
     shape = SiteShape(
         zones=1,
         entries=1,
@@ -137,7 +141,7 @@
 
 
 async def measure_streams():
-    """Measure entry and agent against tokens of streams too slow to be merged."""
+    """Return the slopes of entry and agent by token, without merged tokens."""
     shape = SiteShape(
         zones=1,
         entries=1,
@@ -154,7 +158,7 @@
 
 
 async def repeat(action, count, concurrent=CONCURRENT_CALLS):
-    """Make count calls, a bounded number at a time; fail if one is not answered."""
+    """Make `count` calls, some concurrently; raise RuntimeError if one fails."""
     gate = asyncio.Semaphore(concurrent)
 
     async def one(index):
@@ -167,6 +171,7 @@
 
 
 async def measure_requests(site, caller):
+    """Return the slopes of entry and agent by request."""
     members = {"entry": site.entries[0], "agent": site.agents[0]}
     points = await sweep(
         members, REQUEST_COUNTS, lambda count: repeat(caller.complete, count)
@@ -178,6 +183,8 @@
 
 
 async def measure_tokens(site, caller):
+    """Return the slopes of entry and agent by token."""
+
     async def stream(prompt):
         return await caller.stream(prompt, TOKENS_PER_STREAM)
 
@@ -194,7 +201,7 @@
 
 
 async def sweep(members, counts, action):
-    """Return for each member the points (count, processor seconds spent)."""
+    """Return the points (count, processor seconds) of each member by role."""
     points = {role: [] for role in members}
     for count in counts:
         before = {role: cpu_seconds(member) for role, member in members.items()}
@@ -205,7 +212,7 @@
 
 
 async def measure_idle(site):
-    """Measure the entry's memory against idle callers' connections."""
+    """Return the slope of the entry's memory by idle connection of callers."""
     entry = site.entries[0]
     points, writers = [], []
     for count in IDLE_CONNECTIONS:
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/capacity/page.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/capacity/page.py
@@ -1,4 +1,4 @@
-"""Write the capacity page from a run's slopes."""
+"""Render the capacity page from the slopes of a run."""
 
 import dataclasses
 import json
@@ -14,7 +14,7 @@
 
 
 def dump(slopes, heartbeat_bytes):
-    """Encode a run, so that the page can be written again from it."""
+    """Return a run as JSON, from which the page can be rendered again."""
     run = {
         "python": platform.python_version(),
         "heartbeat_bytes": heartbeat_bytes,
@@ -24,7 +24,7 @@
 
 
 def render(run):
-    """Return the page's Markdown for a decoded run."""
+    """Return the Markdown of the page for a decoded run."""
     size, budget = Size(), Budget()
     slopes = {line["name"]: Slope(**line) for line in run["slopes"]}
     costs = [
@@ -49,7 +49,7 @@
 
 
 def quantity(amount, unit):
-    """Write an amount with three figures and a prefix that suits it."""
+    """Return an amount with three significant digits and a unit prefix."""
     if unit == "core":
         return f"{amount * 100:.3g} % of a core"
     for limit, prefix in ((1e9, "G"), (1e6, "M"), (1e3, "k"), (1, ""), (1e-3, "m")):
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/capacity/roles.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/capacity/roles.py
@@ -1,31 +1,31 @@
-"""Work out what each role costs at a size from measured slopes."""
+"""Compute the cost of each role at a size from measured slopes."""
 
 from dataclasses import dataclass
 
 from fescuedrum.decisions.pacing import send_interval
 from fescuedrum.decisions.topology import DELEGATES_PER_ZONE, REMOTE_LINKS
 
-# Both ends of a link send a heartbeat at this interval; it is the settings' default.
+# Interval of heartbeats on each side of a link: the default of the settings.
 HEARTBEAT_SECONDS = 0.5
-# Bytes that TCP and IP add to a small segment, and the acknowledgement it draws.
+# Bytes of the TCP and IP headers of a small segment and of its acknowledgement.
 SEGMENT_OVERHEAD_BYTES = 52 + 52
 
 
 @dataclass(slots=True, frozen=True)
 class Cost:
-    """Hold one line of the page: what a role spends on one thing."""
+    """Hold one line of the page: the cost of one task of a role."""
 
     role: str
     what: str
     amount: float
     unit: str
     working: str
-    # Share of control's budget, or None for work that callers cause.
+    # Share of the budget for control, or None for work caused by callers.
     budget_share: float | None = None
 
 
 def entry_costs(slopes, size):
-    """Return what callers' work costs one entry."""
+    """Return the costs of callers' requests for one entry."""
     requests, tokens = size.requests_per_node, size.tokens_per_node
     per_request, per_token = slopes["entry.request"].slope, slopes["entry.token"].slope
     running = requests * size.request_seconds
@@ -44,7 +44,7 @@
 
 
 def agent_costs(slopes, size):
-    """Return what callers' work costs one agent."""
+    """Return the costs of callers' requests for one agent."""
     requests, tokens = size.requests_per_engine, size.tokens_per_engine
     per_request, per_token = slopes["agent.request"].slope, slopes["agent.token"].slope
     return [
@@ -54,25 +54,26 @@
 
 
 def core_share(role, what, rate, seconds_each):
+    """Return the cost of a rate of tasks as a share of a core."""
     working = f"{rate:,.0f}/s x {seconds_each * 1e6:,.0f} us"
     return Cost(role, what, rate * seconds_each, "core", working)
 
 
 def links_of_entry(size):
-    """Return how many connections for control one entry has."""
+    """Return the number of control connections of one entry."""
     peers = size.nodes_per_zone - 1
-    abroad = DELEGATES_PER_ZONE * (size.zones - 1) / size.nodes_per_zone
-    # Each conversation between two zones has an entry at either end.
-    return size.engines_per_zone + REMOTE_LINKS + peers + 2 * abroad
+    remote = DELEGATES_PER_ZONE * (size.zones - 1) / size.nodes_per_zone
+    # Each connection between two zones has an entry at both ends.
+    return size.engines_per_zone + REMOTE_LINKS + peers + 2 * remote
 
 
 def links_of_agent(size):
-    """Return how many entries one agent is connected to."""
+    """Return the number of entries that one agent is connected to."""
     return size.nodes_per_zone + REMOTE_LINKS * size.nodes / size.engines
 
 
 def link_costs(slopes, size, budget, heartbeat_bytes):
-    """Return what heartbeats and their connections cost a node."""
+    """Return the costs of heartbeats and their connections for a node."""
     return [
         *heartbeat_costs(
             "entry", links_of_entry(size), slopes, budget, heartbeat_bytes
@@ -84,6 +85,7 @@
 
 
 def heartbeat_costs(role, links, slopes, budget, heartbeat_bytes):
+    """Return the costs of a number of links for one process of a role."""
     interval = send_interval(HEARTBEAT_SECONDS, links)
     beats = links / interval
     sent = beats * (heartbeat_bytes + SEGMENT_OVERHEAD_BYTES)
@@ -119,7 +121,7 @@
 
 
 def planning_costs(slopes, size):
-    """Return what planning one rank group's map costs the entry that has the duty."""
+    """Return the cost of planning a map for the entry with the group's duty."""
     measured = dict(slopes["experts.place"].points)
     groups = size.accelerators / size.ranks_per_group
     return [
@@ -135,7 +137,7 @@
 
 
 def process_costs(slopes, budget):
-    """Return what an entry takes before it has links or callers."""
+    """Return the cost of an entry without links and callers."""
     memory = slopes["link.memory"].intercept
     return [
         Cost(
@@ -150,7 +152,7 @@
 
 
 def document_costs(slopes, size, budget):
-    """Return what the configuration costs each process."""
+    """Return the costs of the configuration for each process."""
     take = slopes["document.take"].at(size.organisations)
     body = slopes["document.size"].at(size.organisations)
     rate = size.changes_per_day / 86_400
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/capacity/slopes.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/capacity/slopes.py
@@ -1,4 +1,4 @@
-"""Fit a line through measured points."""
+"""Fit lines to measured points."""
 
 import statistics
 from dataclasses import dataclass
@@ -6,10 +6,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Slope:
-    """Hold a fitted line and the points it was fitted to."""
+    """Hold a fitted line and its points."""
 
     name: str
-    # What one step along x is, for instance "request".
+    # Unit of x, for instance "request".
     per: str
     # Unit of y, for instance "s" of processor time.
     unit: str
@@ -20,11 +20,12 @@
     fit: float
 
     def at(self, x):
+        """Return the value of the line at x."""
         return self.intercept + self.slope * x
 
 
 def fit(name, points, *, per, unit):
-    """Fit a line by least squares; at least two points with different x."""
+    """Return the line of least squares; needs two points that differ in x."""
     xs = [x for x, _ in points]
     ys = [y for _, y in points]
     line = statistics.linear_regression(xs, ys)
