--- a/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/__init__.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""Hold one module for each experiment: ``async def run(scale, seed)``."""
+"""The experiments, one module each with ``async def run(scale, seed)``."""
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/base.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/base.py
@@ -1,16 +1,16 @@
-"""Describe what an experiment measured, in a form that JSON can hold."""
+"""The results of experiments, in a form that JSON can hold."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass(slots=True)
 class Figure:
-    """Hold one measured value beside its baseline and the target, if there is one."""
+    """Hold one measured value with its baseline and target, if any."""
 
     name: str
     value: float
     unit: str = ""
-    # The same measurement under the policy that this one replaces, in the same run.
+    # The same measurement under the policy to compare with, in the same run.
     baseline: float | None = None
     at_least: float | None = None
     at_most: float | None = None
@@ -26,7 +26,7 @@
 
     @property
     def met(self):
-        """Tell whether the target is reached; None without a target."""
+        """Return whether the target is reached, or None without a target."""
         if self.at_least is not None:
             return self.value >= self.at_least
         if self.at_most is not None:
@@ -34,6 +34,7 @@
         return None
 
     def as_json(self):
+        """Return the figure as a dictionary for JSON."""
         return {
             "name": self.name,
             "value": self.value,
@@ -49,7 +50,7 @@
     """Hold the result of one experiment."""
 
     name: str
-    # What was done and what the baseline is, for the report's reader.
+    # What was done and what the baseline is, shown in the report.
     story: str
     figures: list[Figure]
     # Lines of the plot: name to a list of (x, y).
@@ -58,10 +59,11 @@
 
     @property
     def met(self):
-        """Tell whether no figure misses its target."""
+        """Return whether no figure misses its target."""
         return all(figure.met is not False for figure in self.figures)
 
     def as_json(self):
+        """Return the experiment as a dictionary for JSON."""
         return {
             "name": self.name,
             "story": self.story,
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/cold_start.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/cold_start.py
@@ -1,4 +1,4 @@
-"""Measure whether cold endpoints get more than they can carry."""
+"""Measure whether cold endpoints get more requests than they can run."""
 
 import asyncio
 
@@ -15,11 +15,12 @@
 JOBS = [Job(8), Job(32)]
 MEAN_TOKENS = 20
 ORGANISATIONS = ("club", "shop", "kitchen")
-# Trusts every endpoint with its warm load at once, as a balancer without a gate does.
+# Sends a cold endpoint its warm load at once, like a balancer without a slow start.
 TRUSTING = {"cold_limit": 16, "warm_limit": 16, "pace_seconds": 0.0}
 
 
 async def run(scale, seed):
+    """Compare the limits for cold endpoints with none."""
     careful = await measure({}, scale, seed)
     trusting = await measure(TRUSTING, scale, seed)
     return Experiment(
@@ -40,7 +41,7 @@
 
 
 class Run:
-    """Hold what came of one run."""
+    """Hold the crashes of engines and the share answered in time of one run."""
 
     __slots__ = ("falls", "in_time")
 
@@ -50,6 +51,7 @@
 
 
 async def measure(agent, scale, seed):
+    """Run the load with these settings of agents and return the result."""
     shape = build_shape(ENGINES, agent=agent)
     rate = capacity(shape) * LOAD / MEAN_TOKENS / len(ORGANISATIONS)
     mixes = [
@@ -66,6 +68,7 @@
 
 
 async def turn_cold(site):
+    """Turn the engines cold in turn until cancelled."""
     turn = 0
     while True:
         await asyncio.sleep(TURN_COLD_EVERY)
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/control.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/control.py
@@ -1,4 +1,4 @@
-"""Measure what control costs an entry against the number of its members."""
+"""Measure the cost of control for an entry by the number of members."""
 
 import asyncio
 
@@ -22,7 +22,7 @@
 
 
 async def run(scale, seed):
-    """Observe the entry at rest at each number of members."""
+    """Observe an idle entry at each number of members."""
     shape = SiteShape(zones=1, entries=1, engines=0, services=0)
     sent, cores = [], []
     async with Site(shape, ["club"]) as site:
@@ -30,7 +30,7 @@
         for count in MEMBER_COUNTS:
             await host.grow(count)
             await host.wait_linked()
-            # The interval follows the number of members within a heartbeat or two.
+            # The interval adapts to the number of members within two heartbeats.
             await asyncio.sleep(OBSERVED_SECONDS / 2)
             rate, beats, core = await observe(site, host, OBSERVED_SECONDS * scale)
             sent.append((count, rate, rate / beats * count * FIXED_BEATS_PER_SECOND))
@@ -63,7 +63,7 @@
 
 
 async def observe(site, host, seconds):
-    """Return bytes and heartbeats a second sent by the entry, and its core share."""
+    """Return the entry's sent bytes and heartbeats per second and its core share."""
     entry = site.entries[0]
     spent, received, beats = cpu_seconds(entry), *count_received(host)
     await asyncio.sleep(seconds)
@@ -75,7 +75,7 @@
 
 
 def count_received(host):
-    """Count bytes and heartbeats that all agents have received."""
+    """Return the bytes and heartbeats that all agents have received."""
     sessions = [session for agent in host.agents for session in agent.sessions]
     received = sum(session.connection.received_bytes for session in sessions)
     return received, sum(session.heartbeats_received for session in sessions)
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/expert_maps.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/expert_maps.py
@@ -1,4 +1,4 @@
-"""Measure the expert-map planner beside a static map and full re-plans."""
+"""Compare the planner of expert maps with a static map and full re-plans."""
 
 import random
 import time
@@ -33,7 +33,7 @@
 
 
 class Static:
-    """Keep the first map."""
+    """Policy that keeps the first map."""
 
     def observe(self, tick):
         pass
@@ -43,7 +43,7 @@
 
 
 class Replan:
-    """Plan the whole map anew at each interval from the last one's loads."""
+    """Policy that plans a new map in each interval from the last loads."""
 
     def __init__(self, topology, *, replicate=True):
         self.topology = topology
@@ -51,10 +51,12 @@
         self.loads = None
 
     def observe(self, tick):
+        """Store the loads and speeds of an interval."""
         self.loads = tick.loads
         self.topology = self.topology.with_speeds(tick.speeds)
 
     def next_map(self, current, now):
+        """Return a new map."""
         layers = [
             self.place(layer, current.layers[layer])
             for layer in range(self.topology.layers)
@@ -62,6 +64,7 @@
         return placement.ExpertMap(current.number + 1, layers)
 
     def place(self, layer, current):
+        """Return a new map of a layer that keeps experts on their ranks."""
         loads = self.loads[layer]
         if not self.replicate:
             return single_replicas(loads, self.topology, layer)
@@ -70,26 +73,28 @@
 
 
 class Planned:
-    """Ask the planner."""
+    """Policy that applies the plans of the planner."""
 
     def __init__(self, topology):
         self.planner = planner.Planner(topology, ChangeCosts(), INTERVAL_SECONDS)
         self.meter = stragglers.SpeedMeter(topology.ranks)
 
     def observe(self, tick):
+        """Pass the loads and measured speeds of an interval to the planner."""
         self.planner.observe(tick.loads, tick.at)
-        # A rank's measured time is its tokens over its true speed.
+        # The measured time of a rank is its tokens divided by its speed.
         tokens = [1.0] * len(tick.speeds)
         self.meter.observe(tokens, [1 / speed for speed in tick.speeds])
         self.planner.set_speeds(self.meter.rounded_speeds())
 
     def next_map(self, current, now):
+        """Return the planned map, or None if the planner keeps the current map."""
         plan = self.planner.plan(current, now)
         return plan.expert_map if plan else None
 
 
 def single_replicas(loads, topology, layer):
-    """Place each expert once, the hottest first on the rank with the least tokens."""
+    """Return a map of a layer with each expert on the rank with the fewest tokens."""
     tokens = [0.0] * topology.ranks
     hosts = [[] for _ in loads]
     for expert in sorted(range(len(loads)), key=loads.__getitem__, reverse=True):
@@ -101,7 +106,7 @@
 
 @dataclass(slots=True)
 class Score:
-    """Hold what one policy reached on one trace."""
+    """Hold the mean skew, fetched experts and changes of a policy on a trace."""
 
     skew: float
     moved: int
@@ -109,7 +114,7 @@
 
 
 def simulate(policy, topology, ticks, first):
-    """Run a policy over a trace."""
+    """Run a policy over a trace and return its score."""
     costs = ChangeCosts()
     current, skews, moved, changes = first, [], 0, 0
     late = None
@@ -135,7 +140,7 @@
 
 
 def compare(pattern, ranks, count, seed):
-    """Run all policies over one trace; return the scores by name, and the bound."""
+    """Run all policies over one trace; return scores by name and the lower bound."""
     topology = placement.build_topology(ranks, EXPERTS, TRACE_LAYERS)
     trace = Trace(pattern, ranks, EXPERTS, TRACE_LAYERS, random.Random(seed))
     begin = NOON_SECONDS - count * INTERVAL_SECONDS / 2
@@ -160,6 +165,7 @@
 
 
 def figures_of(pattern, ranks, count, seed):
+    """Return the figures of a pattern and a size of group."""
     scores, bound = compare(pattern, ranks, count, seed)
     ours, replan = scores["planner"], scores["replan"]
     name = f"{pattern.value}, {ranks} ranks"
@@ -195,7 +201,7 @@
 
 
 def planning_time(seed):
-    """Time the largest group's plans in processor seconds: (from nothing, at noon)."""
+    """Return the processor seconds of two plans: (first map, after a shift)."""
     topology = placement.build_topology(max(GROUPS), EXPERTS, LAYERS)
     trace = Trace(Pattern.NOON, max(GROUPS), EXPERTS, LAYERS, random.Random(seed))
     before = trace.loads(0.0, shifted=False)
@@ -211,7 +217,7 @@
 
 
 async def run(scale=1.0, seed=1):
-    """Run all traces; scale shortens them."""
+    """Run all traces, with their length multiplied by `scale`."""
     count = max(LEAST_TICKS, int(FULL_TICKS * scale))
     from_nothing, at_noon = planning_time(seed)
     name = "planning 256 ranks, 64 experts, 8 layers"
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/expert_weights.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/expert_weights.py
@@ -1,4 +1,4 @@
-"""Measure where the weights of a lost rank come from: store, peers, coded blocks."""
+"""Compare sources of a lost rank's weights: store, peers and coded blocks."""
 
 import random
 from dataclasses import dataclass
@@ -11,9 +11,9 @@
 EXPERTS = 64
 LAYERS = 8
 GROUPS = (8, 32, 256)
-# Bytes a second that a rank takes from peers beside its steps.
+# Bytes per second that a rank receives from peers while it runs steps.
 PEER_RATE = 5e9
-# Data blocks of a code with as many parity blocks; a repair reads half as many.
+# Data blocks of a code with as many parity blocks; a repair reads half of them.
 DATA_BLOCKS = 4
 
 STORY = """\
@@ -26,19 +26,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Recovery:
-    """Hold the means over the ranks that were lost."""
+    """Hold the means over all lost ranks, by source of the weights."""
 
     store_seconds: float
     peer_seconds: float
     coded_seconds: float
-    # Whole second copies, in the same memory as the code.
+    # With a second copy of each expert, which takes as much memory as the code.
     copied_seconds: float
     from_peers: float
     coded_reads: float
 
 
 def recover(ranks, seed):
-    """Lose each rank in turn and return the means."""
+    """Return the means over losing each rank in turn."""
     topology = placement.build_topology(ranks, EXPERTS, LAYERS)
     trace = Trace(Pattern.STEADY, ranks, EXPERTS, LAYERS, random.Random(seed))
     expert_map = planner.build_expert_map(trace.loads(0.0, shifted=False), topology)
@@ -55,7 +55,7 @@
     from_peers = lost_bytes * part / PEER_RATE
     return Recovery(
         store_seconds=lost_bytes / costs.store_bytes_per_second,
-        # Both come at the same time.
+        # Both transfers run concurrently.
         peer_seconds=max(from_store, from_peers),
         coded_seconds=lost_bytes * reads / PEER_RATE,
         copied_seconds=lost_bytes / PEER_RATE,
@@ -65,7 +65,7 @@
 
 
 async def run(scale=1.0, seed=1):
-    """Compare the ways for all sizes of group."""
+    """Compare the sources for all sizes of group."""
     figures = []
     for ranks in GROUPS:
         result = recover(ranks, seed)
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/fairness.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/fairness.py
@@ -1,4 +1,4 @@
-"""Plant a bias against one organisation and measure when it is found and cleared."""
+"""Measure how soon a bias against one organisation is found and cleared."""
 
 import asyncio
 
@@ -22,6 +22,7 @@
 
 
 async def run(scale, seed):
+    """Inject a bias into a fair site, wait for findings and remove it."""
     shape = build_shape(ENGINES, entry={"fairness_seconds": INTERVAL})
     mixes = [Mix(name, f"{name}.secret", RATE, JOBS) for name in ORGANISATIONS]
     seconds = FAIR_SECONDS + 2 * LONGEST_SECONDS
@@ -54,7 +55,7 @@
 
 
 async def fetch_findings(site):
-    """Return what stands at any entry."""
+    """Return the current findings of all entries."""
     headers = {"Authorization": f"Bearer {site.operator_token}"}
     found = []
     for entry in site.entries:
@@ -65,6 +66,7 @@
 
 
 async def findings_within(site, seconds):
+    """Return the distinct findings that appear within some seconds."""
     loop = asyncio.get_running_loop()
     end = loop.time() + seconds
     found = {}
@@ -76,7 +78,7 @@
 
 
 async def wait_for(site, accepted):
-    """Return the seconds until the findings are accepted, and the findings."""
+    """Return the seconds until the predicate accepts the findings, and these."""
     loop = asyncio.get_running_loop()
     begin = loop.time()
     while loop.time() - begin < LONGEST_SECONDS:
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/hot_organisation.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/hot_organisation.py
@@ -1,4 +1,4 @@
-"""Measure what others feel of one organisation at ten times its share."""
+"""Measure how one organisation at ten times its share affects the others."""
 
 from fescuedrum_bench.experiments.base import Experiment, Figure
 from fescuedrum_bench.load import Job, Mix, jain
@@ -12,13 +12,14 @@
 MEAN_TOKENS = 48
 OTHERS = ("club", "shop", "kitchen", "office")
 HOT = "hot"
-# Of an equal share: the others keep within theirs.
+# Loads as multiples of an equal share; the others stay below theirs.
 OTHERS_LOAD = 0.8
 HOT_LOAD = 10.0
 BACKLOGGED_LOAD = 3.0
 
 
 async def run(scale, seed):
+    """Compare the others' latencies with and without the hot organisation."""
     without = await measure({}, 0.0, scale, seed)
     with_hot = await measure({}, HOT_LOAD, scale, seed)
     fifo = await measure(NO_ADMISSION, HOT_LOAD, scale, seed)
@@ -54,6 +55,7 @@
 
 
 def build_mixes(loads):
+    """Return the mixes of organisations by load as a multiple of a share."""
     share = capacity(build_shape(ENGINES)) / (len(OTHERS) + 1) / MEAN_TOKENS
     return [
         Mix(name, f"{name}.secret", share * load, JOBS, DEADLINE)
@@ -63,13 +65,14 @@
 
 
 async def measure(agent, hot_load, scale, seed):
+    """Run the load with these settings of agents and return the outcomes."""
     loads = dict.fromkeys(OTHERS, OTHERS_LOAD) | {HOT: hot_load}
     shape = build_shape(ENGINES, agent=agent)
     return await run_trial(Trial(shape, build_mixes(loads), SECONDS * scale, seed))
 
 
 async def measure_backlogged(scale, seed):
-    """Return Jain's index with everyone at three times its share, by weight."""
+    """Return Jain's index with every organisation at three times its share."""
     weights = {name: float(index + 1) for index, name in enumerate(OTHERS)}
     mean = sum(weights.values()) / len(weights)
     loads = {name: BACKLOGGED_LOAD * weights[name] / mean for name in OTHERS}
@@ -82,11 +85,13 @@
 
 
 def others_p95(outcomes):
+    """Return the mean of the others' p95 latencies."""
     results = outcomes.results
     worst = [results.percentile(95, name) for name in OTHERS]
     return sum(worst) / len(worst)
 
 
 def answered_share(outcomes):
+    """Return the share of the others' requests that were answered."""
     sent = [each for each in outcomes.results.samples if each.label in OTHERS]
     return sum(each.outcome == "answered" for each in sent) / len(sent)
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/outcomes.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/outcomes.py
@@ -1,4 +1,4 @@
-"""Measure what running at most once costs, and how soon a lost entry's keys settle."""
+"""Measure the cost of running at most once and how soon a lost entry's keys settle."""
 
 import asyncio
 import statistics
@@ -21,7 +21,7 @@
 
 
 async def run(scale, seed):
-    """Measure on a site of three entries; scale multiplies the requests."""
+    """Measure latency by key, then kill an entry and repeat its keys."""
     shape = SiteShape(entries=3, engines=0, services=3)
     async with Site(shape, [ORGANISATION]) as site:
         callers = [build_caller(site, entry) for entry in site.entries]
@@ -61,12 +61,13 @@
 
 
 def build_caller(site, entry):
+    """Return a caller at an entry."""
     key = site.keys[ORGANISATION]
     return Caller(site.session, entry.url, ORGANISATION, key)
 
 
 async def measure_latency(callers, label, count):
-    """Return the seconds of bookings with and without a key, sent by turns."""
+    """Return the seconds of bookings with and without a key, sent in turns."""
     keyed, unkeyed = [], []
 
     async def work(worker):
@@ -74,24 +75,25 @@
             caller = callers[index % len(callers)]
             reference = f"{label}-{worker}-{index}"
             keyed.append((await caller.book(reference)).seconds)
-            told = await caller.book(f"{reference}-once", keyed=False)
-            unkeyed.append(told.seconds)
+            record = await caller.book(f"{reference}-once", keyed=False)
+            unkeyed.append(record.seconds)
 
     await asyncio.gather(*(work(worker) for worker in range(WORKERS)))
     return keyed, unkeyed
 
 
 async def kill_an_entry(site, callers, count):
-    """Return all records, and for each key in hand the time from the kill to its end.
+    """Kill an entry while it handles bookings; return all records and the waits.
 
-    The first sendings all go through the entry that is killed.
+    A wait is the time from the kill to the answer, for each key that was unanswered.
+    All keys are first sent to the entry that is killed.
     """
     loop = asyncio.get_running_loop()
     first, others = callers[0], callers[1:]
     records = []
     killed = loop.create_future()
 
-    async def insist(index):
+    async def book_until_answered(index):
         reference = f"kill-{index}"
         record = await first.book(reference)
         records.append(record)
@@ -105,8 +107,10 @@
             await asyncio.sleep(REPEAT_SECONDS)
         return loop.time() - await killed
 
-    waiting = [asyncio.create_task(insist(index)) for index in range(count)]
-    # Some are answered, some run, some wait for a place, some are only claimed.
+    waiting = [
+        asyncio.create_task(book_until_answered(index)) for index in range(count)
+    ]
+    # Kill at a time when keys are answered, running, waiting and just claimed.
     while sum(task.done() for task in waiting) < count // 10:
         await asyncio.sleep(0.001)
     await site.entries[0].kill()
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/overload.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/overload.py
@@ -1,4 +1,4 @@
-"""Measure goodput and refusals at three times the capacity."""
+"""Measure goodput and the time of refusals at three times the capacity."""
 
 from fescuedrum_bench.experiments.base import Experiment, Figure
 from fescuedrum_bench.load import Job, Mix, percentile
@@ -15,6 +15,7 @@
 
 
 async def run(scale, seed):
+    """Compare fair queueing with admission to FIFO without."""
     fair = {factor: await measure({}, factor, scale, seed) for factor in FACTORS}
     worst = FACTORS[-1]
     baseline = await measure(NO_ADMISSION, worst, scale, seed)
@@ -50,6 +51,7 @@
 
 
 async def measure(agent, factor, scale, seed):
+    """Run a load of a multiple of the capacity and return the outcomes."""
     shape = build_shape(ENGINES, agent=agent)
     rate = capacity(shape) * factor / MEAN_TOKENS / len(ORGANISATIONS)
     mixes = [
@@ -60,10 +62,12 @@
 
 
 def goodput(outcomes):
+    """Return the tokens received in time as a share of the capacity."""
     received = outcomes.results.received(settle=SETTLE)
     return received / capacity(build_shape(ENGINES))
 
 
 def refusal_p99(outcomes):
+    """Return the p99 of the seconds until a refusal."""
     refused = outcomes.results.chosen(outcome="not-run")
     return percentile([each.seconds for each in refused], 99)
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/path.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/path.py
@@ -1,4 +1,4 @@
-"""Compare what the entry spends on a request with the least that a proxy can."""
+"""Compare the entry's cost of a request with that of a bare proxy."""
 
 import asyncio
 import json
@@ -36,7 +36,7 @@
         services=0,
         step_seconds=0.0005,
         warm_limit=64,
-        # Hundreds of requests a second at one engine would wait for their start.
+        # Pacing would delay hundreds of requests per second at one engine.
         agent_settings=UNPACED,
     )
     async with Site(shape, ["club"]) as site:
@@ -59,6 +59,7 @@
 
 
 async def compare_requests(entry, ours, proxy, bare, scale):
+    """Return the figures of processor time per request."""
     await repeat(ours.complete, WARM_UP)
     await repeat(bare.complete, WARM_UP)
     count = int(REQUESTS * scale)
@@ -80,6 +81,7 @@
 
 
 async def compare_chunks(entry, ours, proxy, bare, scale):
+    """Return the figure of token chunks per second of a core."""
     count = int(STREAMS * scale)
     chunks = count * TOKENS_PER_STREAM
     through_entry = await spend(entry, repeat(streams(ours), count))
@@ -96,6 +98,8 @@
 
 
 def streams(caller):
+    """Return a function that requests a stream of TOKENS_PER_STREAM tokens."""
+
     async def stream(prompt):
         return await caller.stream(prompt, TOKENS_PER_STREAM)
 
@@ -110,6 +114,7 @@
 
 
 async def compare_first_tokens(site, ours, engine, scale):
+    """Return the figures of the time that the path adds to a first token."""
     direct, through = [], []
     for index in range(int(FIRST_TOKENS * scale)):
         prompt = f"first {index}"
@@ -151,6 +156,7 @@
 
 
 def idle_figure(slope):
+    """Return the figure of memory per idle connection."""
     return Figure(
         "memory of an idle caller's connection",
         slope.slope / 1e3,
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/routing_cost.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/routing_cost.py
@@ -1,4 +1,4 @@
-"""Measure that a choice costs the same at any number of endpoints."""
+"""Measure the cost of choosing an endpoint by the number of endpoints."""
 
 import random
 import time
@@ -12,6 +12,7 @@
 
 
 async def run(scale, seed):
+    """Compare the maintained view of endpoints with a scan of all."""
     count = int(CHOICES * scale)
     built = {size: measure(size, count, seed, choose_kept) for size in SIZES}
     scanned = {
@@ -44,6 +45,7 @@
 
 
 def measure(size, count, seed, choose):
+    """Return the mean microseconds to choose, send and end among endpoints."""
     chooser = random.Random(seed)
     view = EndpointView()
     for index in range(size):
@@ -60,9 +62,11 @@
     return (time.perf_counter() - begin) / count * 1e6
 
 
-def choose_kept(view, wish, chooser):
-    return view.choose(wish, chooser)
+def choose_kept(view, preference, chooser):
+    """Choose by the maintained view."""
+    return view.choose(preference, chooser)
 
 
-def choose_scanned(view, wish, chooser):
+def choose_scanned(view, preference, chooser):
+    """Choose the least loaded by a scan of all endpoints."""
     return min(view.candidates.values(), key=lambda each: each.load)
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/short_among_long.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/short_among_long.py
@@ -1,4 +1,4 @@
-"""Measure how long short requests wait among long ones."""
+"""Measure how long short requests wait among long requests."""
 
 from fescuedrum_bench.experiments.base import Experiment, Figure
 from fescuedrum_bench.load import Job, Mix
@@ -14,6 +14,7 @@
 
 
 async def run(scale, seed):
+    """Compare fair queueing with FIFO."""
     fair = await measure({}, scale, seed)
     fifo = await measure({"queue_policy": "fifo"}, scale, seed)
     return Experiment(
@@ -44,6 +45,7 @@
 
 
 async def measure(agent, scale, seed):
+    """Run the load with these settings of agents and return the outcomes."""
     shape = build_shape(ENGINES, agent=agent)
     tokens = capacity(shape)
     mixes = [
@@ -66,4 +68,5 @@
 
 
 def p95(outcomes, label):
+    """Return the p95 latency of a label in seconds."""
     return outcomes.results.percentile(95, label)
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/slow_endpoint.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/slow_endpoint.py
@@ -1,4 +1,4 @@
-"""Measure what callers feel of one slow endpoint among twelve."""
+"""Measure how one slow endpoint among twelve affects the callers."""
 
 from fescuedrum_bench.experiments.base import Experiment, Figure
 from fescuedrum_bench.load import Job, Mix
@@ -18,6 +18,7 @@
 
 
 async def run(scale, seed):
+    """Compare adaptive routing with the baselines, with a slow endpoint."""
     healthy = await measure("adaptive", {}, scale, seed)
     slow = await measure("adaptive", FAULTS, scale, seed)
     baselines = {
@@ -49,6 +50,7 @@
 
 
 async def measure(policy, faults, scale, seed):
+    """Run the load under a routing policy and return the outcomes."""
     shape = build_shape(ENGINES, entry={"routing_policy": policy})
     rate = capacity(shape) * LOAD / MEAN_TOKENS / len(ORGANISATIONS)
     mixes = [
@@ -59,4 +61,5 @@
 
 
 def p99(outcomes):
+    """Return the p99 latency in seconds, after the time to settle."""
     return outcomes.results.percentile(99, settle=SETTLE)
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/spread.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/spread.py
@@ -1,4 +1,4 @@
-"""Measure how long an accepted change takes to be in force everywhere."""
+"""Measure the time from accepting a change until it is in force everywhere."""
 
 import asyncio
 import dataclasses
@@ -31,7 +31,7 @@
 
 
 async def run(scale, seed):
-    """Apply changes to a healthy site and to one with a slow platform."""
+    """Apply changes to a healthy site, with a slow platform and with a slow zone."""
     chooser = random.Random(seed)
     count = max(int(CHANGES * scale), 10)
     async with Site(SHAPE, ["club"]) as site:
@@ -102,12 +102,12 @@
 
 
 def reached(moments, version):
-    """Return when a process had a version or a newer one in force."""
+    """Return the time at which a process had a version or a newer one in force."""
     return min(moment for number, moment in moments.items() if number >= version)
 
 
 async def change_weight(site, chooser):
-    """Apply one change through an entry chosen at random; return its version."""
+    """Change a weight through a random entry and return the version."""
     entry = chooser.choice(site.entries)
     _, shown = await site.operate(entry, "configuration")
     document = shown["document"]
@@ -124,10 +124,12 @@
 
 
 def percentile(values, share):
+    """Return the value below which a share of the values lies."""
     ordered = sorted(values)
     return ordered[min(int(len(ordered) * share), len(ordered) - 1)]
 
 
 def curve(values):
+    """Return the points (share of values, value) of the distribution."""
     ordered = sorted(values)
     return [(index / len(ordered), value) for index, value in enumerate(ordered)]
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/store.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/store.py
@@ -1,4 +1,4 @@
-"""Measure what the fleet asks of the platform's table and lists."""
+"""Measure the load of the fleet on the platform's table and lists."""
 
 import asyncio
 import random
@@ -21,12 +21,12 @@
 OBSERVED_SECONDS = 20.0
 CHANGES = 10
 READ_BUDGET = 2_000
-# Half of the budget is left to claims.
+# The other half of the budget is for claims.
 READ_SHARE = READ_BUDGET / 2
 
 
 async def run(scale, seed):
-    """Count the platform's calls with few and with many entries in a zone."""
+    """Compute the fleet's calls from runs with few and with many entries in a zone."""
     seconds = OBSERVED_SECONDS * scale
     few, _ = await observe(READERS_PER_ZONE, seconds, seed)
     many, writes = await observe(ENTRIES, seconds, seed)
@@ -54,7 +54,7 @@
 
 
 async def observe(entries, seconds, seed):
-    """Return the reads a second at rest and the writes that one change takes."""
+    """Return the reads per second of an idle site and the writes of one change."""
     shape = SiteShape(zones=1, entries=entries, engines=1, services=1)
     async with Site(shape, ["club"]) as site:
         await site.wait_in_force(1)
@@ -75,4 +75,5 @@
 
 
 async def count_calls(site):
+    """Return the platform's number of calls by kind."""
     return await site.fetch_json(f"{site.platform.url}/calls")
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/zones.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/zones.py
@@ -1,4 +1,4 @@
-"""Measure the service that callers receive while a zone leaves and returns."""
+"""Measure the service for callers while a zone is taken out and brought back."""
 
 import asyncio
 import itertools
@@ -28,7 +28,7 @@
 REQUESTS_PER_SECOND = 60
 WARM_UP_SECONDS = 6.0
 PHASE_SECONDS = 10.0
-# The first seconds of a change are left out of the delays, as the target says.
+# Excluded from the delays after each change, as the target says.
 EXCLUDED_SECONDS = 3.0
 READY_POLL_SECONDS = 0.25
 COUNT_POLL_SECONDS = 0.02
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class Sent:
-    """Hold a caller's record and when it was sent."""
+    """Hold the record of a request and the time of sending."""
 
     at: float
     record: object
@@ -57,7 +57,7 @@
         self.tasks = set()
 
     async def run(self):
-        """Send until cancelled; the rate does not follow the answers."""
+        """Send until cancelled, at a rate that does not depend on the answers."""
         watch = asyncio.create_task(self.watch_ready())
         number, due = 0, self.loop.time()
         try:
@@ -72,7 +72,7 @@
             watch.cancel()
 
     async def watch_ready(self):
-        """Choose entries as the platform's balancer does."""
+        """Keep the list of ready entries, as the platform's load balancer does."""
         while True:
             answers = [
                 await self.site.answers(f"{entry.url}/readyz")
@@ -83,6 +83,7 @@
             await asyncio.sleep(READY_POLL_SECONDS)
 
     async def send(self, number):
+        """Send one request, of a kind that follows from its number."""
         entry = self.chooser.choice(self.ready)
         name = ORGANISATIONS[number % len(ORGANISATIONS)]
         caller = Caller(self.site.session, entry.url, name, self.site.keys[name])
@@ -99,11 +100,12 @@
         self.sent.append(Sent(at, record))
 
     async def finish(self):
+        """Wait for the answers to all requests."""
         await asyncio.gather(*self.tasks)
 
 
 async def run(scale, seed):
-    """Take a zone out and back in under load and judge what callers received."""
+    """Take a zone out and bring it back under load and return the figures."""
     async with Site(SHAPE, ORGANISATIONS) as site:
         traffic = Traffic(site, random.Random(seed))
         sending = asyncio.create_task(traffic.run())
@@ -125,7 +127,7 @@
 
 
 async def take_out(site, traffic, seconds):
-    """Take the zone out; return how long after its acceptance work last began there."""
+    """Take the zone out; return the seconds until the last work began in it."""
     await site.set_zone(ZONE, ZoneState.OUT)
     accepted = traffic.loop.time()
     until = accepted + seconds
@@ -139,6 +141,7 @@
 
 
 def summarise(sent, marks, last_work, executions, returned):
+    """Return the experiment from the records and the times of the changes."""
     steady, leaving, returning = (
         [each for each in sent if begin <= each.at < end]
         for begin, end in itertools.pairwise(marks)
@@ -147,7 +150,7 @@
     breaches = (
         verdict.doubled + verdict.lost + verdict.false_not_run + verdict.wrong_answers
     )
-    usual = slow_share(steady, marks[0])
+    usual = p95_delay(steady, marks[0])
     changed = leaving + returning
     cut = sum(each.record.outcome == Outcome.UNKNOWN for each in changed)
     figures = [
@@ -168,12 +171,12 @@
         Figure("promises broken", breaches, at_most=0),
         Figure(
             "p95 while it is out over p95 before",
-            slow_share(leaving, marks[1] + EXCLUDED_SECONDS) / usual,
+            p95_delay(leaving, marks[1] + EXCLUDED_SECONDS) / usual,
             at_most=1.3,
         ),
         Figure(
             "p95 after its return over p95 before",
-            slow_share(returning, marks[2] + EXCLUDED_SECONDS) / usual,
+            p95_delay(returning, marks[2] + EXCLUDED_SECONDS) / usual,
             at_most=1.3,
         ),
         Figure("requests that its engines began in all", returned),
@@ -182,11 +185,12 @@
 
 
 def answered(sent):
+    """Return the share of requests that were answered."""
     good = sum(each.record.outcome == Outcome.ANSWERED for each in sent)
     return good / max(len(sent), 1)
 
 
-def slow_share(sent, since):
+def p95_delay(sent, since):
     """Return the 95th percentile of the delays of completions."""
     delays = [
         each.record.seconds
