--- a/tests/unit/test_bench_report.py
+++ b/tests/unit/test_bench_report.py
@@ -1,4 +1,4 @@
-"""Check that a missed target can't pass unseen through the bench."""
+"""Check that the bench reports a missed target."""
 
 import json
 
@@ -11,14 +11,14 @@
     return Experiment("queue", "A burst.", list(figures), line, ("load", "s"))
 
 
-def test_a_figure_beyond_its_target_is_missed():
+def test_a_figure_beyond_its_target_is_not_met():
     assert Figure("p99", 51.0, at_most=50.0).met is False
     assert Figure("goodput", 0.94, at_least=0.95).met is False
     assert Figure("goodput", 0.95, at_least=0.95).met is True
     assert Figure("skew", 3.0).met is None
 
 
-def test_the_report_shows_baseline_and_miss(tmp_path):
+def test_the_report_shows_the_baseline_and_a_missed_target(tmp_path):
     figures = Figure("p99", 51.0, "ms", 80.0, at_most=50.0), Figure("skew", 3.0)
     experiment = build_experiment(*figures)
     write_report(tmp_path, [experiment])
--- a/tests/unit/test_expert_maps.py
+++ b/tests/unit/test_expert_maps.py
@@ -1,4 +1,4 @@
-"""Check that ranks stay in balance and that weights move only when it pays."""
+"""Check that ranks stay in balance and that experts move only if it saves time."""
 
 import dataclasses
 import random
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize("ranks", [8, 32, 256])
-def test_a_new_map_uses_no_more_slots_than_there_are_and_is_even(ranks):
+def test_a_new_map_is_balanced_and_within_the_slots(ranks):
     topology = placement.build_topology(ranks, EXPERTS, 2)
     loads = build_loads()
     expert_map = planner.build_expert_map(loads, topology)
@@ -54,7 +54,7 @@
     assert skew.max_to_ideal >= placement.skew_lower_bound(loads, topology) - 1e-9
 
 
-def test_slots_are_even_over_the_layers():
+def test_slots_are_distributed_evenly_over_layers():
     topology = placement.build_topology(32, EXPERTS, 8)
     assert {sum(layer) for layer in topology.slots} == {80}
     by_rank = [sum(layer[rank] for layer in topology.slots) for rank in range(32)]
@@ -72,10 +72,10 @@
 
 @pytest.mark.parametrize("pattern", list(Pattern))
 def test_ranks_stay_in_balance_for_a_fifth_of_the_moves(pattern):
-    """Lunch orders ask for allergy notes at noon, and every summary becomes slow.
+    """Guards against imbalance when popularity changes, and against constant moves.
 
-    Popularity moves to other experts; the ranks that hold them hold up all others.
-    A new plan every minute would mend it and keep the weight store busy all day.
+    When popularity moves to other experts, their ranks delay all others. A new plan
+    every minute would restore the balance but load the weight store all day.
     """
     count = 60
     scores, _ = expert_maps.compare(pattern, 8, count, seed=1)
@@ -93,11 +93,11 @@
     assert scores["planner"].moved == 0
 
 
-def test_a_shift_of_every_day_is_met_when_it_comes():
-    """Each day at noon the first summaries are late, although noon is no surprise.
+def test_a_daily_shift_is_forecast():
+    """Guards against a slow interval at each shift that recurs daily.
 
-    The map follows the loads of the last interval, so it is wrong for one interval
-    after each shift, however often that shift has come before.
+    A map that follows the loads of the last interval is wrong for one interval after
+    each shift, however often it has occurred.
     """
     forecaster = Forecaster(MINUTE)
     trace = Trace(Pattern.NOON, 8, EXPERTS, 1, random.Random(3))
@@ -111,7 +111,7 @@
 
 
 def test_a_slow_rank_gets_a_smaller_share():
-    """One accelerator runs hot; its rank is last in every step with an even share."""
+    """Guards against a slow accelerator whose rank delays every step."""
     meter = stragglers.SpeedMeter(8)
     meter.observe([100.0] * 8, [1.0] * 7 + [2.0])
     topology = placement.build_topology(8, EXPERTS, 2).with_speeds(
@@ -127,8 +127,8 @@
     assert placement.measure(plan.expert_map, loads, topology).max_to_mean <= 1.05
 
 
-def test_a_stalled_rank_is_planned_away_whatever_it_costs():
-    """A rank stops; experts that only it held would be answered by nobody."""
+def test_experts_are_moved_off_a_stalled_rank_at_any_cost():
+    """Guards against losing the experts that only a stopped rank held."""
     meter = stragglers.SpeedMeter(8)
     meter.observe([100.0] * 8, [1.0] * 7 + [None])
     whole = placement.build_topology(8, EXPERTS, 2)
@@ -143,12 +143,12 @@
     assert all(held[7] == 0 for held in held_experts(plan.expert_map, whole))
 
 
-def test_a_move_that_costs_more_than_it_saves_is_not_made():
+def test_a_move_that_costs_more_than_it_saves_is_not_planned():
     topology = placement.build_topology(8, EXPERTS, 2)
     loads = build_loads()
     current = planner.build_expert_map(build_loads(seed=9), topology)
-    dear = ChangeCosts(store_bytes_per_second=ChangeCosts().expert_bytes / 3600)
-    for costs, moves in ((ChangeCosts(), True), (dear, False)):
+    expensive = ChangeCosts(store_bytes_per_second=ChangeCosts().expert_bytes / 3600)
+    for costs, moves in ((ChangeCosts(), True), (expensive, False)):
         ours = planner.Planner(topology, costs, MINUTE)
         ours.observe(loads, 0.0)
         plan = ours.plan(current, 0.0)
@@ -156,23 +156,24 @@
         assert bool(plan.balance.fetched) is moves
 
 
-def test_ranks_are_named_to_keep_what_they_hold():
+def test_a_renumbered_map_is_matched_to_the_ranks_that_hold_it():
     topology = placement.build_topology(8, EXPERTS, 1)
     loads = build_loads(layers=1)
     layer_map = packing.pack(loads[0], topology, 0)
-    turned = [[(rank + 3) % 8 for rank in ranks] for ranks in layer_map.hosts]
-    renamed = packing.match_ranks(
-        dataclasses.replace(layer_map, hosts=turned), layer_map, topology, 0
+    rotated = [[(rank + 3) % 8 for rank in ranks] for ranks in layer_map.hosts]
+    matched = packing.match_ranks(
+        dataclasses.replace(layer_map, hosts=rotated), layer_map, topology, 0
     )
-    assert [sorted(ranks) for ranks in renamed.hosts] == [
+    assert [sorted(ranks) for ranks in matched.hosts] == [
         sorted(ranks) for ranks in layer_map.hosts
     ]
 
 
-def test_a_shift_in_a_large_group_is_met_by_replicas_of_the_new_hot_experts():
-    """At noon other experts are hot in a group of 256 ranks, dozens of slots lacking.
+def test_a_shift_in_a_large_group_is_balanced_by_one_plan():
+    """Guards against slow planning when dozens of replicas are missing at once.
 
-    One move at a time would take seconds of planning while all ranks wait for a few.
+    After a shift among 256 ranks, planning one move at a time would take seconds, in
+    which all ranks wait for a few.
     """
     topology = placement.build_topology(256, EXPERTS, 1)
     trace = Trace(Pattern.NOON, 256, EXPERTS, 1, random.Random(1))
--- a/tests/unit/test_expert_weights.py
+++ b/tests/unit/test_expert_weights.py
@@ -1,4 +1,4 @@
-"""Check the comparison of ways to fetch a lost rank's weights."""
+"""Check the comparison of sources for the weights of a lost rank."""
 
 from fescuedrum_bench.experiments import expert_weights
 
--- a/tests/unit/test_member.py
+++ b/tests/unit/test_member.py
@@ -1,4 +1,4 @@
-"""Check that a process that does not come up says why."""
+"""Check the error for a process of a site that does not start."""
 
 import sys
 
@@ -9,12 +9,12 @@
 from fescuedrum_bench.site import Site, SiteShape
 
 
-async def test_a_member_that_does_not_come_up_is_told_with_its_log(
+async def test_error_for_a_member_that_does_not_start_contains_its_log(
     tmp_path, monkeypatch
 ):
-    """A test fails for a site that was not up, and nobody can tell why.
+    """Guards against losing the cause when a process ends at its start.
 
-    One of its processes ended as it started; its log was deleted with the site.
+    Its log is deleted with the site, before anybody can read it.
     """
     monkeypatch.setattr(site, "READY_SECONDS", 0.5)
     member = Member(
@@ -25,8 +25,8 @@
     )
     await member.start()
     await member.process.wait()
-    held = Site(SiteShape(zones=1, entries=1, engines=0), ["club"])
+    site_of_member = Site(SiteShape(zones=1, entries=1, engines=0), ["club"])
     with pytest.raises(Exception, match=r"agent-1 .*code 1(.|\n)*no address"):
-        await held.wait_listening(member)
-    held.guard.close()
-    held.temporary.cleanup()
+        await site_of_member.wait_listening(member)
+    site_of_member.guard.close()
+    site_of_member.temporary.cleanup()
