--- a/packages/fescuedrum-bench/src/fescuedrum_bench/chaos.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/chaos.py
@@ -102,58 +102,71 @@
 
 
 async def kill_entry(faults, duration):
+    """Kill an entry and start it again."""
     await faults.kill(faults.site.entries, duration)
 
 
 async def kill_agent(faults, duration):
+    """Kill an agent and start it again."""
     await faults.kill(faults.site.agents, duration)
 
 
 async def pause_entry(faults, duration):
+    """Stop an entry by SIGSTOP for a time."""
     await faults.pause(faults.site.entries, duration)
 
 
 async def pause_agent(faults, duration):
+    """Stop an agent by SIGSTOP for a time."""
     await faults.pause(faults.site.agents, duration)
 
 
 async def pause_endpoint(faults, duration):
+    """Stop an endpoint by SIGSTOP for a time."""
     await faults.pause(faults.site.endpoints, duration / 2)
 
 
 async def replace_entry(faults, duration):
+    """Stop an entry gracefully and start it again."""
     await faults.replace(faults.site.entries, duration)
 
 
 async def replace_agent(faults, duration):
+    """Stop an agent gracefully and start it again."""
     await faults.replace(faults.site.agents, duration)
 
 
 async def store_outage(faults, duration):
+    """Refuse all calls of the platform for a time."""
     await faults.site.set_faults(down=True)
     await asyncio.sleep(duration)
     await faults.site.set_faults(down=False)
 
 
 async def lost_answers(faults, duration):
+    """Drop the answers of some transactions after their writes."""
     await faults.site.set_faults(lost_answers=faults.random.randrange(1, 8))
 
 
 async def slow_store(faults, duration):
+    """Delay all calls of the platform for a time."""
     await faults.site.set_faults(delay_seconds=faults.random.uniform(0.01, 0.3))
     await asyncio.sleep(duration)
     await faults.site.set_faults(delay_seconds=0.0)
 
 
 async def cut_connections(faults, duration):
+    """Reset the connections of a proxy."""
     faults.proxy().cut()
 
 
 async def silence_connections(faults, duration):
+    """Drop all further data of the open connections of a proxy."""
     faults.proxy().silence()
 
 
 async def delay_connections(faults, duration):
+    """Delay the data of a proxy for a time."""
     proxy = faults.proxy()
     proxy.delay_seconds = faults.random.uniform(0.02, 0.4)
     await asyncio.sleep(duration)
@@ -161,6 +174,7 @@
 
 
 async def partition(faults, duration):
+    """Hold back data or refuse connections at a proxy for a time."""
     proxy = faults.proxy()
     proxy.mode = faults.random.choice((Mode.PARTITION, Mode.REFUSE))
     if proxy.mode is Mode.REFUSE:
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/outcomes.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/experiments/outcomes.py
@@ -94,6 +94,7 @@
     killed = loop.create_future()
 
     async def book_until_answered(index):
+        """Repeat a booking until it is answered; return the time since the kill."""
         reference = f"kill-{index}"
         record = await first.book(reference)
         records.append(record)
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/exploration.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/exploration.py
@@ -316,7 +316,7 @@
         """Put messages into the network."""
         for effect in effects:
             if isinstance(effect, ToEngine):
-                raise AssertionError("an engine's order needs its rank")
+                raise AssertionError("an order to an engine must be sent with its rank")
             world.network.append(effect)
 
     def send_from(self, world, rank, effects):
@@ -366,7 +366,9 @@
             return
         before = world.told.setdefault(outcome.change, outcome.committed)
         if before and not outcome.committed:
-            raise Violation("a holder was told that a switch was none")
+            raise Violation(
+                "a holder got the outcome of no switch after that of a switch"
+            )
         world.told[outcome.change] = outcome.committed
 
     def deliver_all(self, world):
@@ -398,17 +400,19 @@
     def check_end(self, world):
         """Check that all ranks can step under the map that the holders know."""
         if any(not engine.may_start() for engine in world.engines):
-            raise Violation("a rank is stuck although messages flow")
+            raise Violation("a rank cannot step although all messages are delivered")
         in_force = {engine.state().change for engine in world.engines}
         if len(in_force) > 1:
             raise Violation(f"maps differ at the end: {sorted(in_force)}")
         (change,) = in_force
         for engine in world.engines:
             if change not in engine.loaded:
-                raise Violation("the map in force is not whole")
+                raise Violation("the map in force is not loaded on every rank")
         for told, committed in world.told.items():
             if committed and told > change:
-                raise Violation("a holder was told what is not so")
+                raise Violation(
+                    "a holder got the outcome of a switch that is not in force"
+                )
 
 
 def check_steps(world):
@@ -424,7 +428,7 @@
             raise Violation(f"step {step} ran under the maps {sorted(maps)}")
     for engine in world.engines:
         if engine.change not in engine.loaded:
-            raise Violation("a map is in force whose weights are not there")
+            raise Violation("a map is in force whose weights are not loaded")
 
 
 def step_while_possible(world):
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/faultproxy.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/faultproxy.py
@@ -35,30 +35,30 @@
         """Connect to the target and forward both directions until they end."""
         self.writers.append(writer)
         host, port = self.proxy.target
-        far_reader, far_writer = await asyncio.open_connection(host, port)
-        self.writers.append(far_writer)
+        target_reader, target_writer = await asyncio.open_connection(host, port)
+        self.writers.append(target_writer)
         self.tasks = [
-            asyncio.create_task(self.carry(reader, far_writer)),
-            asyncio.create_task(self.carry(far_reader, writer)),
+            asyncio.create_task(self.forward(reader, target_writer)),
+            asyncio.create_task(self.forward(target_reader, writer)),
         ]
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
-    async def carry(self, reader, writer):
+    async def forward(self, reader, writer):
         """Forward one direction with the proxy's faults until its end."""
         while data := await reader.read(READ_BYTES):
             if self.proxy.delay_seconds:
                 await asyncio.sleep(self.proxy.delay_seconds)
-            await self.partition_over()
+            await self.wait_partition_over()
             # Like a middlebox that lost the connection's state: drop without a reset.
             if self.silent:
                 continue
             writer.write(data)
             await writer.drain()
-        await self.partition_over()
+        await self.wait_partition_over()
         if not self.silent:
             writer.close()
 
-    async def partition_over(self):
+    async def wait_partition_over(self):
         """Wait until no partition holds data back.
 
         Dropped data would leave a gap within a TCP connection, which no network does,
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/member.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/member.py
@@ -38,8 +38,8 @@
     def __init__(self, member):
         lines = member.log_path.read_text().splitlines()[-LOG_LINES:]
         state = f"code {member.process.returncode}; None is running"
-        told = "\n".join(lines) or "nothing"
-        super().__init__(f"{member.name} at {member.host} ({state}) logged:\n{told}")
+        log_end = "\n".join(lines) or "nothing"
+        super().__init__(f"{member.name} at {member.host} ({state}) logged:\n{log_end}")
 
 
 class Member:
--- a/packages/fescuedrum-bench/src/fescuedrum_bench/site.py
+++ b/packages/fescuedrum-bench/src/fescuedrum_bench/site.py
@@ -202,7 +202,7 @@
         )
 
     async def start_entry(self, index, seeds=(), *, listed=True):
-        """Start an entry and, unless told otherwise, list it at the platform."""
+        """Start an entry and, if `listed`, list it at the platform."""
         zone = self.zone(index)
         member = self.add(
             f"entry-{index}", ["-m", "fescuedrum_entry.management", "serve"]
