--- a/tests/integration/test_soak.py
+++ b/tests/integration/test_soak.py
@@ -1,4 +1,4 @@
-"""Play the soak for a short while, and check that its judge can find faults."""
+"""Run short soaks, and check that their checker finds violations."""
 
 import asyncio
 import random
@@ -8,10 +8,10 @@
 import pytest
 from soak.balancer import Balancer
 from soak.callers import Ending, Record
-from soak.conditions import FAULTS, STOPS, Kind, Streams
-from soak.endpoints import Need, Run
-from soak.faults import GatewayStopped, HistoryLost, PathFault, StoreFault, draw
-from soak.judge import CONTACT_SECONDS, Judge, Reading
+from soak.conditions import FAULTS, STOPS, RequestKind, Streams
+from soak.endpoints import RateLimit, Run
+from soak.faults import GatewayStopped, HistoryLost, PathFault, StoreFault, draw_fault
+from soak.judge import RECONNECT_SECONDS, GuaranteeChecker, Reading
 from soak.planned import draw_work
 from soak.run import play
 from soak.site import Span
@@ -20,13 +20,13 @@
 SHORT_SECONDS = 8.0
 SEED = 1
 USUAL_SECONDS = 20.0
-# Seeds that broke a promise, each with its cause.
+# Seeds that violated a guarantee, each with its cause.
 REGRESSIONS = {
     820043039: "a reload signal ended a gateway that was still loading",
 }
 
 
-# The same of runs with planned work only.
+# The same for runs with planned work only.
 STOPS_REGRESSIONS = {
     488366453: "a stopping gateway took streams that lasted longer than its time left",
 }
@@ -35,7 +35,7 @@
 STOP_SECONDS = 3.1
 
 
-def build_record(kind=Kind.ONCE, ending=Ending.ANSWERED, **changes):
+def build_record(kind=RequestKind.ONCE, ending=Ending.ANSWERED, **changes):
     values = {"request_id": "r-1", "gateway": "g-1", "began": 10.0, "ended": 10.5}
     return Record(kind=kind, ending=ending, **values | changes)
 
@@ -45,10 +45,10 @@
     return Run(**values | changes)
 
 
-def judge(records=(), runs=(), readings=(), needs=(), **site):
-    """Return the findings on a site that was calm but for what is given."""
+def find_violations(records=(), runs=(), readings=(), rate_limits=(), **site):
+    """Return the findings on a site with only the given irregularities."""
     quiet = {
-        "journal": SimpleNamespace(runs=list(runs), needs=list(needs)),
+        "journal": SimpleNamespace(runs=list(runs), rate_limits=list(rate_limits)),
         "findings": [],
         "disturbances": [],
         "stops": [],
@@ -56,7 +56,9 @@
         "changes": [],
         "left": {},
     }
-    return Judge(SimpleNamespace(**quiet | site), list(records), readings).findings()
+    return GuaranteeChecker(
+        SimpleNamespace(**quiet | site), list(records), readings
+    ).findings()
 
 
 def build_site():
@@ -66,9 +68,9 @@
 
 
 def test_a_seed_keeps_its_faults():
-    """A seed that broke a promise would play something else, and pass."""
-    chance, site = random.Random(820043039), build_site()
-    assert [draw(chance, site) for _ in range(4)] == [
+    """Guard regression seeds: with other faults they would pass without a fix."""
+    rng, site = random.Random(820043039), build_site()
+    assert [draw_fault(rng, site) for _ in range(4)] == [
         PathFault("gateway-0", "partition", 1.0940369505030207),
         StoreFault(StoreMode.SILENT, 2.734835484297725),
         HistoryLost(),
@@ -76,43 +78,50 @@
     ]
 
 
-def build_needy(count, spacing, gateway="g-1"):
-    """Return a need of one request a second and the records of what came."""
+def build_rate_limited(count, spacing, gateway="g-1"):
+    """Return a limit of one request per second and the records of its arrivals."""
     arrivals = [(20.0 + spacing * number, f"n-{number}") for number in range(count)]
-    need = Need("i-1", 1.0, 10.0, arrivals=[(10.0, "n-0"), *arrivals])
+    rate_limit = RateLimit("i-1", 1.0, 10.0, arrivals=[(10.0, "n-0"), *arrivals])
     records = [
         build_record(request_id=request_id, gateway=gateway)
         for _, request_id in arrivals
     ]
-    return need, records
+    return rate_limit, records
 
 
-def test_the_judge_finds_an_endpoint_in_need_that_is_overrun():
-    need, records = build_needy(12, 0.1)
-    (finding,) = judge(records, needs=[need])
+def test_the_checker_finds_an_endpoint_above_its_rate_limit():
+    rate_limit, records = build_rate_limited(12, 0.1)
+    (finding,) = find_violations(records, rate_limits=[rate_limit])
     assert "got 12 in 4.0 s" in finding
 
 
-def test_the_judge_lets_a_need_be_met_within_its_bound():
-    need, records = build_needy(11, 0.1)
-    assert judge(records, needs=[need]) == []
-    need, records = build_needy(40, 0.5)
-    assert judge(records, needs=[need]) == []
+def test_the_checker_accepts_requests_within_the_rate_limit():
+    rate_limit, records = build_rate_limited(11, 0.1)
+    assert find_violations(records, rate_limits=[rate_limit]) == []
+    rate_limit, records = build_rate_limited(40, 0.5)
+    assert find_violations(records, rate_limits=[rate_limit]) == []
 
 
-def test_the_judge_excuses_a_gateway_that_was_stopped_or_paused():
-    need, records = build_needy(12, 0.1)
+def test_the_checker_ignores_rates_of_stopped_or_paused_gateways():
+    rate_limit, records = build_rate_limited(12, 0.1)
     for spans in ("stops", "disturbances"):
-        assert judge(records, needs=[need], **{spans: [Span("g-1", 15.0, 19.0)]}) == []
-    assert judge(records, needs=[need], stops=[Span("g-2", 15.0, 19.0)])
+        assert (
+            find_violations(
+                records, rate_limits=[rate_limit], **{spans: [Span("g-1", 15.0, 19.0)]}
+            )
+            == []
+        )
+    assert find_violations(
+        records, rate_limits=[rate_limit], stops=[Span("g-2", 15.0, 19.0)]
+    )
 
 
 def test_streams_have_the_length_that_their_kind_of_run_gives_them():
-    assert {Streams(1, FAULTS).count(f"c1-{n}") for n in range(50)} == {12}
-    counts = [Streams(1, STOPS).count(f"c1-{number}") for number in range(500)]
+    assert {Streams(1, FAULTS).event_count(f"c1-{n}") for n in range(50)} == {12}
+    counts = [Streams(1, STOPS).event_count(f"c1-{number}") for number in range(500)]
     assert (min(counts), max(counts)) == (3, 40)
-    assert counts == [Streams(1, STOPS).count(f"c1-{n}") for n in range(500)]
-    assert counts != [Streams(2, STOPS).count(f"c1-{n}") for n in range(500)]
+    assert counts == [Streams(1, STOPS).event_count(f"c1-{n}") for n in range(500)]
+    assert counts != [Streams(2, STOPS).event_count(f"c1-{n}") for n in range(500)]
 
 
 def test_planned_stops_overlap_and_come_in_turn_and_at_once():
@@ -129,14 +138,14 @@
     assert at_once > 20
 
 
-def test_the_balancer_opens_connections_where_a_late_look_found_a_gateway_ready():
+def test_the_balancer_opens_connections_where_a_recent_probe_found_a_gateway_ready():
     first, second = SimpleNamespace(name="g-1"), SimpleNamespace(name="g-2")
-    balancer, chance = Balancer([first, second]), random.Random(1)
+    balancer, rng = Balancer([first, second]), random.Random(1)
 
-    def chosen(*looks):
-        for gateway, answers in zip((first, second), looks, strict=True):
-            balancer.looks[gateway.name].extend(answers)
-        return {balancer.choose(chance).name for _ in range(50)}
+    def chosen(*probe_results):
+        for gateway, answers in zip((first, second), probe_results, strict=True):
+            balancer.probe_results[gateway.name].extend(answers)
+        return {balancer.choose(rng).name for _ in range(50)}
 
     assert chosen([True, False], [True, True]) == {"g-1", "g-2"}
     assert chosen([False], [True]) == {"g-2"}
@@ -144,67 +153,74 @@
     assert chosen([True], [False]) == {"g-1"}
 
 
-def test_what_is_right_is_no_finding():
-    assert judge([build_record()], [build_run()]) == []
+def test_a_correct_request_gives_no_finding():
+    assert find_violations([build_record()], [build_run()]) == []
 
 
-def test_the_judge_sees_requests_that_broke_a_promise():
+def test_the_checker_finds_requests_that_violate_a_guarantee():
     twice = [build_run(), build_run(endpoint="i-2")]
-    assert judge([build_record()], twice)
-    assert judge([build_record(ending=Ending.NOT_RUN)], [build_run()])
-    assert judge([build_record(ending=Ending.WRONG)], [build_run()])
-    assert judge([build_record(ending=Ending.DENIED)])
-    assert judge([build_record(Kind.AGAIN)], [*twice, build_run(endpoint="i-3")])
-    assert judge(runs=[build_run()])
+    assert find_violations([build_record()], twice)
+    assert find_violations([build_record(ending=Ending.NOT_RUN)], [build_run()])
+    assert find_violations([build_record(ending=Ending.WRONG)], [build_run()])
+    assert find_violations([build_record(ending=Ending.DENIED)])
+    assert find_violations(
+        [build_record(RequestKind.AGAIN)], [*twice, build_run(endpoint="i-3")]
+    )
+    assert find_violations(runs=[build_run()])
 
 
 def test_a_cut_is_explained_by_a_fault_and_not_by_a_planned_stop():
     record, run = build_record(ending=Ending.CUT), build_run()
     fault = Span("i-1", 10.0, 10.2)
     stop = Span("g-1", 9.0, 12.0)
-    assert judge([record], [run], disturbances=[fault]) == []
-    assert judge([record], [run], stops=[stop])
+    assert find_violations([record], [run], disturbances=[fault]) == []
+    assert find_violations([record], [run], stops=[stop])
     unread = build_record(ending=Ending.CUT, ended=10.01)
-    assert judge([unread], stops=[stop]) == []
-    assert judge([unread])
+    assert find_violations([unread], stops=[stop]) == []
+    assert find_violations([unread])
 
 
-def test_the_judge_sees_work_where_none_may_be():
+def test_the_checker_finds_runs_at_draining_endpoints_and_in_zones_out():
     record, run = build_record(began=20.0, ended=20.5), build_run(at=20.1)
-    assert judge([record], [run], left={"i-1": 15.0})
-    assert judge([record], [run], left={"i-1": 19.0}) == []
-    assert judge([record], [run], zone_spans=[Span("zone-1", 12.0, 30.0)])
-    assert judge([record], [run], zone_spans=[Span("zone-2", 12.0, 30.0)]) == []
-    cut_off = Span("g-1", 10.0, 20.0 - CONTACT_SECONDS + 1)
-    assert judge([record], [run], left={"i-1": 15.0}, disturbances=[cut_off]) == []
-
-
-def test_the_judge_sees_a_configuration_that_is_late_or_goes_back():
+    assert find_violations([record], [run], left={"i-1": 15.0})
+    assert find_violations([record], [run], left={"i-1": 19.0}) == []
+    assert find_violations([record], [run], zone_spans=[Span("zone-1", 12.0, 30.0)])
+    assert (
+        find_violations([record], [run], zone_spans=[Span("zone-2", 12.0, 30.0)]) == []
+    )
+    cut_off = Span("g-1", 10.0, 20.0 - RECONNECT_SECONDS + 1)
+    assert (
+        find_violations([record], [run], left={"i-1": 15.0}, disturbances=[cut_off])
+        == []
+    )
+
+
+def test_the_checker_finds_a_configuration_that_is_late_or_goes_back():
     changes = [(1.0, 1), (10.0, 2)]
     late = Reading("g-1", 1, 1, 13.0)
-    assert judge(readings=[late], changes=changes)
-    assert judge(readings=[Reading("g-1", 1, 1, 11.0)], changes=changes) == []
+    assert find_violations(readings=[late], changes=changes)
+    assert find_violations(readings=[Reading("g-1", 1, 1, 11.0)], changes=changes) == []
     back = [Reading("g-1", 1, 2, 10.5), Reading("g-1", 1, 1, 11.0)]
-    assert judge(readings=back, changes=changes)
+    assert find_violations(readings=back, changes=changes)
     again = [Reading("g-1", 1, 2, 10.5), Reading("g-1", 2, 1, 11.0)]
-    assert judge(readings=again, changes=changes) == []
+    assert find_violations(readings=again, changes=changes) == []
 
 
 @pytest.mark.parametrize("seed", REGRESSIONS)
-async def test_seeds_that_broke_a_promise_do_so_no_more(seed, tmp_path):
+async def test_regression_seeds_have_no_findings(seed, tmp_path):
     result = await asyncio.wait_for(play(seed, USUAL_SECONDS, tmp_path), 100)
     assert result.findings == []
 
 
 @pytest.mark.parametrize("seed", STOPS_REGRESSIONS)
-async def test_seeds_whose_planned_stops_cut_answers_do_so_no_more(seed, tmp_path):
-    """A gateway that is told to stop closes a stream in the middle."""
+async def test_regression_seeds_of_planned_stops_have_no_findings(seed, tmp_path):
+    """Guard against a stopping gateway that closes a stream before its end."""
     run = play(seed, STOPS.seconds, tmp_path, STOPS)
     result = await asyncio.wait_for(run, 100)
     assert result.findings == []
 
 
-async def test_a_short_run_of_planned_stops_cuts_no_answer(tmp_path):
+async def test_a_short_run_of_planned_stops_truncates_no_response(tmp_path):
     run = play(SEED, SHORT_SECONDS, tmp_path, STOPS)
     result = await asyncio.wait_for(run, 60)
     assert result.findings == []
@@ -212,7 +228,7 @@
     assert result.while_stopping["answered"] > 10
 
 
-async def test_a_short_run_of_random_faults_breaks_no_promise(tmp_path):
+async def test_a_short_run_of_random_faults_violates_no_guarantee(tmp_path):
     result = await asyncio.wait_for(play(SEED, SHORT_SECONDS, tmp_path), 60)
     assert result.findings == []
     assert result.endings["answered"] > 100
--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,6 +1,6 @@
 """Run real gateway processes under random faults and check what callers get.
 
-The platform's store, the endpoints, callers and operators are stand-ins of this
-package; between each process and what it depends on stands a proxy that delays, resets,
-cuts or silences connections. All that is random follows from one seed.
+This package simulates the platform's store, the endpoints, callers and operators. A
+proxy between each process and its dependencies delays, resets, closes or silences
+connections. Every random choice follows from one seed.
 """
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Play seeds from the command line: python -m soak --kind stops --seeds 50."""
+"""Run seeds from the command line: python -m soak --kind stops --seeds 50."""
 
 import argparse
 import asyncio
@@ -14,23 +14,25 @@
 
 
 def add_arguments(parser):
-    parser.add_argument("--seed", type=int, help="the one seed to play")
-    parser.add_argument("--seeds", type=int, default=1, help="how many fresh seeds")
+    parser.add_argument("--seed", type=int, help="run this seed only")
+    parser.add_argument(
+        "--seeds", type=int, default=1, help="number of new random seeds"
+    )
     parser.add_argument(
         "--kind", type=RunKind, choices=list(RunKind), default=RunKind.FAULTS
     )
-    parser.add_argument("--seconds", type=float, help="how long each spoils the site")
+    parser.add_argument("--seconds", type=float, help="duration of the faults per seed")
     parser.add_argument(
-        "--logs", type=Path, default=Path("build/soak"), help="where logs are kept"
+        "--logs", type=Path, default=Path("build/soak"), help="directory of the logs"
     )
 
 
-def handle(options):
-    """Play the seeds one after the other; return how many broke a promise."""
-    drawn = random.SystemRandom()
+def run_seeds(options):
+    """Run the seeds one after the other; return how many had findings."""
+    system_random = random.SystemRandom()
     seeds = [options.seed]
     if options.seed is None:
-        seeds = [drawn.randrange(HIGHEST_SEED) for _ in range(options.seeds)]
+        seeds = [system_random.randrange(HIGHEST_SEED) for _ in range(options.seeds)]
     broken = 0
     for seed in seeds:
         directory = options.logs / str(seed)
@@ -47,17 +49,17 @@
     return broken
 
 
-def end_on(number, _):
-    """Leave as on Ctrl-C, so that the processes of the run are ended, too."""
+def interrupt(number, _):
+    """Raise KeyboardInterrupt, so that the gateway processes are ended, too."""
     raise KeyboardInterrupt(signal.Signals(number).name)
 
 
 def main():
     for number in (signal.SIGTERM, signal.SIGHUP):
-        signal.signal(number, end_on)
+        signal.signal(number, interrupt)
     parser = argparse.ArgumentParser(prog="python -m soak", description=__doc__)
     add_arguments(parser)
-    return 1 if handle(parser.parse_args()) else 0
+    return 1 if run_seeds(parser.parse_args()) else 0
 
 
 if __name__ == "__main__":
--- a/tests/soak/balancer.py
+++ b/tests/soak/balancer.py
@@ -1,4 +1,4 @@
-"""Stand in for the balancer, which chooses where new connections go."""
+"""Simulate the load balancer that chooses the gateway of each new connection."""
 
 import asyncio
 import collections
@@ -7,48 +7,52 @@
 import aiohttp
 from aiohttp.abc import AbstractResolver
 
-LOOK_SECONDS = 1.0
-# A gateway is out once so many looks one after the other have missed.
-LOOKS = 2
-# Longer than any connection rests here: only gateways close what is kept.
-KEEP_SECONDS = 60.0
-# Callers know the balancer's name only.
+PROBE_INTERVAL_SECONDS = 1.0
+# A gateway gets no new connections after this many failed probes in a row.
+PROBES_UNTIL_OUT = 2
+# Longer than any connection stays idle: only gateways close idle connections.
+KEEPALIVE_SECONDS = 60.0
+# Callers know only this name of the balancer.
 NAME = "soak.example"
 
 
 class Balancer:
-    """Ask gateways whether they are ready, and send new connections to those."""
+    """Probe the readiness of gateways and choose a ready one for new connections."""
 
     def __init__(self, gateways):
         self.gateways = gateways
-        self.looks = {each.name: collections.deque(maxlen=LOOKS) for each in gateways}
+        self.probe_results = {
+            each.name: collections.deque(maxlen=PROBES_UNTIL_OUT) for each in gateways
+        }
 
     async def run(self, session):
+        """Probe the gateways periodically until cancelled."""
         while True:
-            await self.look(session)
-            await asyncio.sleep(LOOK_SECONDS)
+            await self.probe_gateways(session)
+            await asyncio.sleep(PROBE_INTERVAL_SECONDS)
 
-    async def look(self, session):
+    async def probe_gateways(self, session):
+        """Record once for each gateway whether it is ready."""
         answers = (gateway.is_ready(session) for gateway in self.gateways)
         for gateway, ready in zip(
             self.gateways, await asyncio.gather(*answers), strict=True
         ):
-            self.looks[gateway.name].append(ready)
+            self.probe_results[gateway.name].append(ready)
 
     def choose(self, random):
-        """Return a gateway that is in, or any if none is."""
-        ready = [each for each in self.gateways if any(self.looks[each.name])]
+        """Return a random gateway of the ready ones, or of all if none is ready."""
+        ready = [each for each in self.gateways if any(self.probe_results[each.name])]
         return random.choice(ready or self.gateways)
 
 
-class Lane(AbstractResolver):
-    """Keep one connection; when it is gone, the next goes where the balancer says."""
+class PersistentConnection(AbstractResolver):
+    """Hold one persistent connection; the balancer chooses the gateway of the next."""
 
     def __init__(self, balancer, random):
         self.balancer = balancer
         self.random = random
         self.port = balancer.gateways[0].ports.callers
-        # Where the last connection was opened to.
+        # Name of the gateway to which the last connection was opened.
         self.gateway = ""
 
     @property
@@ -56,21 +60,22 @@
         return f"http://{NAME}:{self.port}"
 
     def open_session(self):
+        """Return a client session that uses one connection at a time."""
         return aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(
                 limit=1,
                 resolver=self,
                 use_dns_cache=False,
-                keepalive_timeout=KEEP_SECONDS,
+                keepalive_timeout=KEEPALIVE_SECONDS,
             )
         )
 
     async def resolve(self, host, port=0, family=socket.AF_INET):
-        """Tell the library where a new connection goes."""
+        """Return the address of the gateway that the balancer chooses."""
         gateway = self.balancer.choose(self.random)
         self.gateway = gateway.name
         address = {"host": gateway.host, "port": port, "family": socket.AF_INET}
         return [address | {"hostname": host, "proto": 0, "flags": 0}]
 
     async def close(self):
-        """Hold nothing that has to be closed."""
+        """Do nothing: the resolver holds no resources."""
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,4 +1,4 @@
-"""Send requests as callers do and note what they got."""
+"""Send requests as callers do and record how they ended."""
 
 import asyncio
 import contextlib
@@ -8,21 +8,21 @@
 import aiohttp
 
 from soak import wire
-from soak.balancer import Lane
-from soak.conditions import Kind
+from soak.balancer import PersistentConnection
+from soak.conditions import RequestKind
 from soak.endpoints import whole_body
 
-# Callers share few kept connections with each gateway, and use them until they close.
-CONNECTIONS = 4
-# Those who keep connections have so many each; all but one rest.
-LANES = 4
+# A caller without the balancer reuses few connections to each gateway until they close.
+CONNECTIONS_PER_GATEWAY = 4
+# Persistent connections of a KeepingCaller; all but one are idle.
+CONNECTIONS_PER_CALLER = 4
 
 
 class Ending(enum.StrEnum):
-    """Say what a caller got."""
+    """List the ways in which a request can end for its caller."""
 
     ANSWERED = "answered"
-    # The status promises that the request has not run and never will.
+    # The status guarantees that no endpoint has run the request or will run it.
     NOT_RUN = "not-run"
     FAILED = "failed"
     DENIED = "denied"
@@ -33,10 +33,10 @@
 
 @dataclass(slots=True)
 class Record:
-    """Hold one request as its caller saw it; times are loop time in seconds."""
+    """Hold what a caller knows about one request; times are loop time in seconds."""
 
     request_id: str
-    kind: Kind
+    kind: RequestKind
     gateway: str
     began: float
     ended: float = 0.0
@@ -61,7 +61,8 @@
         self.loop = asyncio.get_running_loop()
 
     async def run(self):
-        connector = aiohttp.TCPConnector(limit_per_host=CONNECTIONS)
+        """Send requests to random gateways until cancelled."""
+        connector = aiohttp.TCPConnector(limit_per_host=CONNECTIONS_PER_GATEWAY)
         async with aiohttp.ClientSession(connector=connector) as session:
             while True:
                 gateway = self.random.choice(self.site.gateways)
@@ -70,9 +71,11 @@
                 await self.think()
 
     async def think(self):
-        await asyncio.sleep(self.conditions.think * self.random.random())
+        """Wait for a random time before the next request."""
+        await asyncio.sleep(self.conditions.think_seconds * self.random.random())
 
     def draw_request(self, gateway):
+        """Return the record of a new request of random kind."""
         self.sent += 1
         record = Record(
             request_id=f"c{self.number}-{self.sent}",
@@ -84,8 +87,9 @@
         return record
 
     async def send(self, session, url, record):
+        """Send a request and record how it ended."""
         try:
-            async with asyncio.timeout(self.conditions.patience + 1):
+            async with asyncio.timeout(self.conditions.patience_seconds + 1):
                 await self.read_answer(session, url, record)
         except aiohttp.ClientConnectorError as error:
             record.ending, record.detail = Ending.UNSENT, repr(error)
@@ -94,14 +98,15 @@
         record.ended = self.loop.time()
 
     async def read_answer(self, session, url, record):
+        """Send a request, read the response and record what its status says."""
         headers = {
             "Host": "soak.example",
             wire.REQUEST_ID: record.request_id,
             wire.KEY: "club-key",
-            wire.PATIENCE: str(int(self.conditions.patience * 1000)),
+            wire.PATIENCE: str(int(self.conditions.patience_seconds * 1000)),
         }
         url = f"{url}/{record.kind}/x"
-        # A library that sends a request again by itself would blame the gateway.
+        # An automatic retry of the client library would look like a gateway's fault.
         async with session.post(url, data=b"{}", headers=headers) as answer:
             body = await answer.read()
             record.detail = f"status {answer.status}"
@@ -112,27 +117,27 @@
             elif answer.status == 200:
                 self.compare(body, record)
             else:
-                record.ending = ending_of(answer.status)
+                record.ending = ending_of_status(answer.status)
 
     def compare(self, body, record):
-        """Judge an answer's bytes, and note how many a wrong one has."""
+        """Record whether a body is the expected one, and the size of a wrong one."""
         right = self.expected(record)
         record.ending = Ending.ANSWERED if body == right else Ending.WRONG
         if body != right:
             record.detail += f", {len(body)} bytes for {len(right)}"
 
     def expected(self, record):
-        """Return the whole right answer to a request."""
-        if record.kind is not Kind.STREAM:
+        """Return the expected body of the response to a request."""
+        if record.kind is not RequestKind.STREAM:
             return whole_body(record.request_id)
         return self.site.streams.body(record.request_id)
 
 
 class KeepingCaller(Caller):
-    """Come through the balancer, and use each connection until its gateway closes it.
+    """Connect through the balancer and reuse connections until a gateway closes them.
 
-    A connection that rests for seconds is still where it was opened to, however long
-    the balancer has sent nobody there.
+    An idle connection still leads to the gateway to which it was opened, also when
+    the balancer has long stopped sending new connections there.
     """
 
     def __init__(self, number, site, records, random, balancer):
@@ -140,21 +145,26 @@
         self.balancer = balancer
 
     async def run(self):
+        """Send requests over random persistent connections until cancelled."""
         async with contextlib.AsyncExitStack() as stack:
-            lanes = [Lane(self.balancer, self.random) for _ in range(LANES)]
+            connections = [
+                PersistentConnection(self.balancer, self.random)
+                for _ in range(CONNECTIONS_PER_CALLER)
+            ]
             sessions = {
-                lane: await stack.enter_async_context(lane.open_session())
-                for lane in lanes
+                connection: await stack.enter_async_context(connection.open_session())
+                for connection in connections
             }
             while True:
-                lane = self.random.choice(lanes)
-                record = self.draw_request(lane.gateway)
-                await self.send(sessions[lane], lane.url, record)
-                record.gateway = lane.gateway
+                connection = self.random.choice(connections)
+                record = self.draw_request(connection.gateway)
+                await self.send(sessions[connection], connection.url, record)
+                record.gateway = connection.gateway
                 await self.think()
 
 
-def ending_of(status):
+def ending_of_status(status):
+    """Return the ending that a status other than 200 means."""
     if status in NOT_RUN_STATUSES:
         return Ending.NOT_RUN
     return Ending.DENIED if status in DENIED_STATUSES else Ending.FAILED
--- a/tests/soak/conditions.py
+++ b/tests/soak/conditions.py
@@ -1,4 +1,4 @@
-"""Say how long things last in each kind of run, and how long each stream is."""
+"""Define the durations and sizes of each kind of run and the length of streams."""
 
 import enum
 import random
@@ -9,16 +9,16 @@
 
 
 class RunKind(enum.StrEnum):
-    """Name the kinds of run."""
+    """List the kinds of run."""
 
-    # Faults and planned work at random.
+    # Random faults and planned work.
     FAULTS = "faults"
-    # Planned work only, among it many stops: nothing explains an answer that is cut.
+    # Planned work only, with many stops: no truncated response is allowed.
     STOPS = "stops"
 
 
-class Kind(enum.StrEnum):
-    """Name the kinds of request by their path."""
+class RequestKind(enum.StrEnum):
+    """List the kinds of request; the value is the first part of the path."""
 
     ONCE = "once"
     AGAIN = "again"
@@ -27,54 +27,56 @@
 
 @dataclass(slots=True, frozen=True)
 class Conditions:
-    """Hold what holds throughout a run; times are in seconds."""
+    """Hold the constant parameters of a run; times are in seconds."""
 
     kind: RunKind
-    # How long work goes on unless the command line says otherwise.
+    # Default duration of faults and planned work.
     seconds: float
-    # What a process is told that it has from the signal to its end.
-    stop: float
-    # How long a caller waits, and the operators let it.
-    patience: float
+    # Configured time of a process from the stop signal to its end.
+    stop_seconds: float
+    # Deadline of a caller's request and timeout of each route.
+    patience_seconds: float
     # Longest pause of a caller between two requests.
-    think: float
+    think_seconds: float
     callers: int
-    # One of these is drawn for each request.
-    requests: tuple[Kind, ...]
-    # Requests that an endpoint runs at a time.
+    # The kind of each request is drawn from these.
+    requests: tuple[RequestKind, ...]
+    # Concurrent requests of an endpoint.
     slots: int
-    event_pause: float
+    event_interval_seconds: float
     fewest_events: int
     most_events: int
 
 
-# A stop is shorter than the patience of callers, so that stops are seen to refuse what
-# no longer fits. Answers are short, so that many requests meet each fault.
+# The stop time is shorter than the callers' patience, so that a stopping gateway has to
+# refuse requests that no longer fit. Responses are short, so that each fault affects
+# many requests.
 FAULTS = Conditions(
     kind=RunKind.FAULTS,
     seconds=20.0,
-    stop=2.5,
-    patience=4.0,
-    think=0.05,
+    stop_seconds=2.5,
+    patience_seconds=4.0,
+    think_seconds=0.05,
     callers=6,
-    requests=tuple(Kind),
+    requests=tuple(RequestKind),
     slots=8,
-    event_pause=EVENT_SECONDS,
+    event_interval_seconds=EVENT_SECONDS,
     fewest_events=12,
     most_events=12,
 )
-# As on the users' sites: a process has 8 s, half of the streams last above 2 s and none
-# much above 4, and connections rest for seconds between their requests.
+# As on the users' sites: a process has 8 s to stop, half of the streams last more than
+# 2 s and none much more than 4 s, and connections are idle for seconds between
+# requests.
 STOPS = Conditions(
     kind=RunKind.STOPS,
     seconds=16.0,
-    stop=8.0,
-    patience=8.0,
-    think=1.5,
+    stop_seconds=8.0,
+    patience_seconds=8.0,
+    think_seconds=1.5,
     callers=48,
-    requests=(*Kind, Kind.STREAM),
+    requests=(*RequestKind, RequestKind.STREAM),
     slots=48,
-    event_pause=CALM_EVENT_SECONDS,
+    event_interval_seconds=CALM_EVENT_SECONDS,
     fewest_events=3,
     most_events=40,
 )
@@ -82,25 +84,23 @@
 
 
 class Streams:
-    """Give each request's stream its length, which follows from the seed."""
+    """Compute the length and body of each request's stream from the seed."""
 
     def __init__(self, seed, conditions):
         self.seed = seed
         self.conditions = conditions
 
-    def count(self, request_id):
-        """Return how many events the stream has."""
-        chance = random.Random(f"{self.seed}/{request_id}")
-        return chance.randint(
-            self.conditions.fewest_events, self.conditions.most_events
-        )
+    def event_count(self, request_id):
+        """Return the number of events of a request's stream."""
+        rng = random.Random(f"{self.seed}/{request_id}")
+        return rng.randint(self.conditions.fewest_events, self.conditions.most_events)
 
     def body(self, request_id):
-        """Return the whole stream as bytes."""
-        numbers = range(1, self.count(request_id) + 1)
-        return b"".join(event(request_id, number) for number in numbers)
+        """Return the whole stream of a request."""
+        numbers = range(1, self.event_count(request_id) + 1)
+        return b"".join(encode_event(request_id, number) for number in numbers)
 
 
-def event(request_id, number):
-    """Return one event of a request's stream, as bytes."""
+def encode_event(request_id, number):
+    """Return one server-sent event of a request's stream."""
     return f"id: {number}\ndata: {request_id} {number}\n\n".encode()
--- a/tests/soak/endpoints.py
+++ b/tests/soak/endpoints.py
@@ -1,4 +1,4 @@
-"""Stand in for endpoints that note what they run."""
+"""Simulate endpoints that record which requests they run."""
 
 import asyncio
 import contextlib
@@ -9,21 +9,21 @@
 
 from fescuedrum_bench.faultproxy import FaultProxy
 from soak import wire
-from soak.conditions import event
+from soak.conditions import encode_event
 
 RUN_SECONDS = 0.03
-# What an endpoint that fails a part of its requests makes of one in so many.
+# A failing endpoint aborts one request in this many.
 FAILING_ONE_IN = 4
 
 
 def whole_body(request_id):
-    """Return the only right answer to a plain request."""
+    """Return the expected response body of a request that is not a stream."""
     return hashlib.sha256(request_id.encode()).hexdigest().encode() * 8
 
 
 @dataclass(slots=True, frozen=True)
 class Run:
-    """Say that an endpoint began to work on a request; at is loop time."""
+    """Record that an endpoint began to run a request; at is loop time."""
 
     request_id: str
     endpoint: str
@@ -32,28 +32,28 @@
 
 
 @dataclass(slots=True)
-class Need:
-    """Say that an endpoint names a rate, and what reaches it meanwhile."""
+class RateLimit:
+    """Record a period in which an endpoint announces a rate limit, and its arrivals."""
 
     endpoint: str
-    # Requests a second that it takes from all gateways.
+    # Requests per second from all gateways together.
     rate: float
     began: float
     ended: float = float("inf")
-    # (loop time, id) of each request that came.
+    # (loop time, request id) of each arrival.
     arrivals: list[tuple[float, str]] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class Journal:
-    """Hold what all endpoints have run, and when they were in need."""
+    """Hold the executions and the rate limits of all endpoints."""
 
     runs: list[Run] = field(default_factory=list)
-    needs: list[Need] = field(default_factory=list)
+    rate_limits: list[RateLimit] = field(default_factory=list)
 
 
 class StandInEndpoint:
-    """Run requests of one service behind a proxy of its own."""
+    """Serve requests of one service behind a fault proxy of its own."""
 
     def __init__(self, name, service, zone, journal, streams):
         self.name = name
@@ -64,13 +64,14 @@
         self.slots = streams.conditions.slots
         self.fails = False
         self.refuses = False
-        # The present need; None where the endpoint takes what comes.
-        self.need = None
+        # The current rate limit, or None.
+        self.rate_limit = None
         self.proxy = None
         self.runner = None
         self.listed_address = ""
 
     async def start(self):
+        """Listen on a free port behind the proxy."""
         application = web.Application()
         application.router.add_route("*", "/{path:.*}", self.serve)
         self.runner = web.AppRunner(application, access_log=None, shutdown_timeout=0.1)
@@ -86,12 +87,13 @@
         await self.runner.cleanup()
 
     async def serve(self, request):
+        """Run a request, or refuse or abort it as the current fault says."""
         request_id = request.headers[wire.REQUEST_ID]
         own = {wire.REQUEST_ID: request_id}
         if request.headers[wire.ENDPOINT_NAME] != self.name:
             return web.Response(status=wire.MISDIRECTED_STATUS, headers=own)
         await request.read()
-        own |= self.tell_need(request_id)
+        own |= self.record_arrival(request_id)
         if self.refuses:
             return web.Response(status=503, headers=own | {wire.NOT_RUN: "1"})
         now = asyncio.get_running_loop().time()
@@ -106,33 +108,34 @@
         await asyncio.sleep(RUN_SECONDS)
         return web.Response(body=whole_body(request_id), headers=headers)
 
-    def begin_need(self, rate):
-        """Name a rate in all answers until the need is ended."""
+    def start_rate_limit(self, rate):
+        """Announce a rate limit in all responses until end_rate_limit is called."""
         now = asyncio.get_running_loop().time()
-        self.need = Need(self.name, rate, now)
-        self.journal.needs.append(self.need)
+        self.rate_limit = RateLimit(self.name, rate, now)
+        self.journal.rate_limits.append(self.rate_limit)
 
-    def end_need(self):
-        self.need.ended = asyncio.get_running_loop().time()
-        self.need = None
+    def end_rate_limit(self):
+        self.rate_limit.ended = asyncio.get_running_loop().time()
+        self.rate_limit = None
 
-    def tell_need(self, request_id):
-        """Note an arrival in a need; return the header that names the rate."""
-        if self.need is None:
+    def record_arrival(self, request_id):
+        """Record an arrival under a rate limit; return the header that announces it."""
+        if self.rate_limit is None:
             return {}
         now = asyncio.get_running_loop().time()
-        self.need.arrivals.append((now, request_id))
-        return {wire.RATE: str(self.need.rate)}
+        self.rate_limit.arrivals.append((now, request_id))
+        return {wire.RATE: str(self.rate_limit.rate)}
 
     async def stream(self, request, request_id, headers):
+        """Send the events of a stream after the last one that the request names."""
         response = web.StreamResponse(headers=headers)
         response.enable_chunked_encoding()
         first = int(request.headers.get(wire.LAST_EVENT) or 0) + 1
-        # Whoever reads may be gone: faults see to that.
+        # A fault may have closed the connection.
         with contextlib.suppress(ConnectionError):
             await response.prepare(request)
-            for number in range(first, self.streams.count(request_id) + 1):
-                await asyncio.sleep(self.streams.conditions.event_pause)
-                await response.write(event(request_id, number))
+            for number in range(first, self.streams.event_count(request_id) + 1):
+                await asyncio.sleep(self.streams.conditions.event_interval_seconds)
+                await response.write(encode_event(request_id, number))
             await response.write_eof()
         return response
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,4 +1,4 @@
-"""Draw faults and planned work from a seed, and bring them about."""
+"""Draw random faults and inject them."""
 
 import asyncio
 import signal
@@ -8,23 +8,23 @@
 from soak import wire
 from soak.store import StoreMode
 
-LONGEST_SECONDS = 3.0
+LONGEST_FAULT_SECONDS = 3.0
 RESTART_SECONDS = 0.5
-# An endpoint that has announced its leave serves on for so long.
+# An endpoint serves for this long after it announced that it is draining.
 DRAIN_SECONDS = 2.5
 DELAY_SECONDS = 0.3
-# An interpreter loads itself within some 30 ms on an idle machine.
+# The interpreter starts within about 30 ms on an idle machine.
 POLL_SECONDS = 0.01
 INTERPRETER_POLLS = 100
-# Gateways have some seconds to learn of a need before they are held to it.
-NEED_SECONDS = (5.0, 12.0)
-# Versions in quick succession, as operators race one another.
+# Longer than the seconds that gateways have before they must follow a rate limit.
+RATE_LIMIT_SECONDS = (5.0, 12.0)
+# Versions that concurrent operators write in quick succession.
 RACING_CHANGES = 3
 
 
 @dataclass(slots=True, frozen=True)
 class StoreFault:
-    """Let the store misbehave towards all."""
+    """Put the store into a faulty mode for all of its clients."""
 
     mode: StoreMode
     seconds: float
@@ -32,12 +32,12 @@
 
 @dataclass(slots=True, frozen=True)
 class HistoryLost:
-    """Let the store forget what has changed."""
+    """Make the store forget its history of changes."""
 
 
 @dataclass(slots=True, frozen=True)
 class PathFault:
-    """Spoil the way to the store of one gateway, or to one endpoint."""
+    """Disrupt the connections of one gateway to the store, or those to one endpoint."""
 
     target: str
     # "partition", "refuse", "delay", "silence" or "reset".
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointFault:
-    """Let an endpoint refuse all requests or fail a part of them."""
+    """Make an endpoint refuse all requests or abort some of them."""
 
     target: str
     refuses: bool
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointInNeed:
-    """Let an endpoint name the requests a second that it takes from all gateways."""
+    """Make an endpoint announce a rate limit in requests per second."""
 
     target: str
     rate: float
@@ -65,7 +65,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointReplaced:
-    """Let an endpoint leave and another one come; announced or by a crash."""
+    """Replace an endpoint by a new one, after it drained or crashed."""
 
     target: str
     announced: bool
@@ -73,14 +73,14 @@
 
 @dataclass(slots=True, frozen=True)
 class GatewayKilled:
-    """Kill a process and start it again."""
+    """Kill a gateway process and start it again."""
 
     target: str
 
 
 @dataclass(slots=True, frozen=True)
 class GatewayPaused:
-    """Stop a process in its tracks for a while."""
+    """Suspend a gateway process with SIGSTOP for a while."""
 
     target: str
     seconds: float
@@ -88,21 +88,21 @@
 
 @dataclass(slots=True, frozen=True)
 class GatewayStopped:
-    """Tell a process to stop, as planned work does, and start it again."""
+    """Stop a gateway process gracefully and start it again."""
 
     target: str
 
 
 @dataclass(slots=True, frozen=True)
 class SettingsReloaded:
-    """Tell a process that its settings have changed."""
+    """Signal a gateway process to reload its settings."""
 
     target: str
 
 
 @dataclass(slots=True, frozen=True)
 class ZoneTakenOut:
-    """Take a zone out of service and back."""
+    """Take a zone out of service and put it back."""
 
     zone: str
     seconds: float
@@ -110,14 +110,14 @@
 
 @dataclass(slots=True, frozen=True)
 class DocumentChanged:
-    """Write so many versions of the configuration in quick succession."""
+    """Write several versions of the configuration in quick succession."""
 
     count: int
 
 
-def draw(random, site):
-    """Return one fault for a site as it is now."""
-    seconds = random.uniform(0.3, LONGEST_SECONDS)
+def draw_fault(random, site):
+    """Return a random fault for the current gateways and endpoints."""
+    seconds = random.uniform(0.3, LONGEST_FAULT_SECONDS)
     gateway = random.choice(site.gateways).name
     endpoint = random.choice(site.endpoints).name
     how = random.choice(("partition", "refuse", "delay", "silence", "reset"))
@@ -140,68 +140,69 @@
     )
 
 
-def draw_need(random, site):
-    """Return an endpoint's need for a site as it is now."""
+def draw_rate_limit(random, site):
+    """Return a random rate limit for one of the current endpoints."""
     return EndpointInNeed(
         random.choice(site.endpoints).name,
         round(random.choice((0.0, random.uniform(0.1, 1.0), random.uniform(1, 8))), 2),
-        random.uniform(*NEED_SECONDS),
+        random.uniform(*RATE_LIMIT_SECONDS),
     )
 
 
 async def inject(fault, site):
-    """Bring a fault about and end it; what it disturbs is noted meanwhile."""
+    """Inject a fault, end it and record what it disturbed in between."""
     match fault:
         case StoreFault(mode, seconds):
-            with site.disturbed("store"):
+            with site.record_disturbance("store"):
                 site.store.mode = mode
                 await asyncio.sleep(seconds)
                 site.store.mode = StoreMode.SERVING
         case HistoryLost():
-            with site.disturbed("store"):
+            with site.record_disturbance("store"):
                 site.store.forget_history()
         case PathFault():
-            await spoil_path(fault, site)
+            await disrupt_path(fault, site)
         case EndpointFault(target, refuses, seconds):
-            await spoil_endpoint(site.endpoint(target), refuses, seconds, site)
+            await disrupt_endpoint(site.endpoint(target), refuses, seconds, site)
         case EndpointInNeed(target, rate, seconds):
-            await put_in_need(site.endpoint(target), rate, seconds)
+            await limit_rate(site.endpoint(target), rate, seconds)
         case EndpointReplaced(target, announced):
             await replace_endpoint(site.endpoint(target), announced, site)
         case GatewayKilled(target):
-            await kill(site.gateway(target), site)
+            await kill_gateway(site.gateway(target), site)
         case GatewayPaused(target, seconds):
-            await pause(site.gateway(target), seconds, site)
+            await pause_gateway(site.gateway(target), seconds, site)
         case GatewayStopped(target):
-            await stop(site.gateway(target), site)
+            await stop_gateway(site.gateway(target), site)
         case SettingsReloaded(target):
-            await reload(site.gateway(target))
+            await reload_settings(site.gateway(target))
         case ZoneTakenOut(zone, seconds):
-            await take_out(zone, seconds, site)
+            await take_zone_out(zone, seconds, site)
         case DocumentChanged(count):
             for _ in range(count):
                 change_document(site)
 
 
-async def reload(gateway):
-    """Send the signal once the program has begun.
+async def reload_settings(gateway):
+    """Send the reload signal once the process handles it.
 
-    Before that the interpreter loads itself, where no program can hold a signal.
+    No program can handle a signal while the interpreter is still starting.
     """
     for _ in range(INTERPRETER_POLLS):
-        if not gateway.running or gateway.holds(signal.SIGHUP):
+        if not gateway.running or gateway.handles_signal(signal.SIGHUP):
             break
         await asyncio.sleep(POLL_SECONDS)
     gateway.send_signal(signal.SIGHUP)
 
 
-async def spoil_path(fault, site):
+async def disrupt_path(fault, site):
+    """Apply a PathFault to its proxy for its duration."""
     gateway = site.gateway(fault.target)
     endpoint = site.endpoint(fault.target)
     if gateway is None and endpoint is None:
         return
     proxy = gateway.store_proxy if gateway is not None else endpoint.proxy
-    with site.disturbed(fault.target):
+    with site.record_disturbance(fault.target):
         match fault.how:
             case "partition":
                 proxy.mode = Mode.PARTITION
@@ -218,24 +219,27 @@
         proxy.heal()
 
 
-async def spoil_endpoint(endpoint, refuses, seconds, site):
+async def disrupt_endpoint(endpoint, refuses, seconds, site):
+    """Make an endpoint refuse or abort requests for a time."""
     if endpoint is None:
         return
-    with site.disturbed(endpoint.name):
+    with site.record_disturbance(endpoint.name):
         endpoint.refuses, endpoint.fails = refuses, not refuses
         await asyncio.sleep(seconds)
         endpoint.refuses = endpoint.fails = False
 
 
-async def put_in_need(endpoint, rate, seconds):
-    if endpoint is None or endpoint.need is not None:
+async def limit_rate(endpoint, rate, seconds):
+    """Make an endpoint announce a rate limit for a time, unless it has one."""
+    if endpoint is None or endpoint.rate_limit is not None:
         return
-    endpoint.begin_need(rate)
+    endpoint.start_rate_limit(rate)
     await asyncio.sleep(seconds)
-    endpoint.end_need()
+    endpoint.end_rate_limit()
 
 
 async def replace_endpoint(endpoint, announced, site):
+    """Add an endpoint and drain or crash the one that it replaces."""
     if endpoint is None or endpoint.name in site.leaving:
         return
     site.leaving.add(endpoint.name)
@@ -243,58 +247,63 @@
     if announced:
         line = wire.encode_endpoint(endpoint, draining=True)
         site.store.put(wire.ENDPOINTS, endpoint.name, line)
-        site.note_left(endpoint.name)
+        site.record_departure(endpoint.name)
         await asyncio.sleep(DRAIN_SECONDS)
         await site.remove_endpoint(endpoint)
         return
-    with site.disturbed(endpoint.name):
+    with site.record_disturbance(endpoint.name):
         endpoint.proxy.mode = Mode.REFUSE
         endpoint.proxy.cut()
         await asyncio.sleep(DRAIN_SECONDS)
         await site.remove_endpoint(endpoint)
 
 
-async def kill(gateway, site):
-    if not gateway.wanted:
+async def kill_gateway(gateway, site):
+    """Kill a gateway process and start it again."""
+    if not gateway.should_run:
         return
-    with site.disturbed(gateway.name):
+    with site.record_disturbance(gateway.name):
         await gateway.end(signal.SIGKILL)
-        await restart(gateway, site)
+        await restart_gateway(gateway, site)
 
 
-async def stop(gateway, site):
-    if not gateway.wanted:
+async def stop_gateway(gateway, site):
+    """Stop a gateway gracefully, record a finding if it is late, and restart it."""
+    if not gateway.should_run:
         return
-    with site.planned(gateway.name):
+    with site.record_stop(gateway.name):
         if not await gateway.end(signal.SIGTERM):
             site.findings.append(f"{gateway.name} did not stop in its time")
-        await restart(gateway, site)
+        await restart_gateway(gateway, site)
 
 
-async def restart(gateway, site):
+async def restart_gateway(gateway, site):
+    """Start a gateway after a pause, unless the run is ending."""
     await asyncio.sleep(RESTART_SECONDS)
     if not site.closing:
         gateway.start()
 
 
-async def pause(gateway, seconds, site):
-    with site.disturbed(gateway.name):
+async def pause_gateway(gateway, seconds, site):
+    """Suspend a gateway process for a time."""
+    with site.record_disturbance(gateway.name):
         gateway.send_signal(signal.SIGSTOP)
         await asyncio.sleep(seconds)
         gateway.send_signal(signal.SIGCONT)
 
 
-async def take_out(zone, seconds, site):
+async def take_zone_out(zone, seconds, site):
+    """Take a zone out of service for a time, unless another one is out."""
     if zone in site.zones_out or site.zones_out:
         return
     key = wire.zone_out_key(zone)
     site.store.put(wire.OPERATORS, key, b"{}")
-    with site.zone_out(zone):
+    with site.record_zone_out(zone):
         await asyncio.sleep(seconds)
     site.store.put(wire.OPERATORS, key, None)
 
 
 def change_document(site):
-    """Write another version; what is always there stays."""
+    """Write a newer version of the configuration with the same contents."""
     version = site.document.version + site.random.randint(1, 5)
     site.put_document(replace(site.document, version=version))
--- a/tests/soak/judge.py
+++ b/tests/soak/judge.py
@@ -1,46 +1,47 @@
-"""Find broken promises in what callers, endpoints and operators saw."""
+"""Find violated guarantees in what callers, endpoints and operators recorded."""
 
 import collections
 from dataclasses import dataclass
 
 from soak.callers import Ending
-from soak.conditions import Kind
+from soak.conditions import RequestKind
 
-# As the routes of the site say.
+# As the routes of the site configure.
 MAXIMUM_ATTEMPTS = 2
-# A gateway that was disturbed is held to bounds in time again after this long: it finds
-# a silent connection within 3 s, and asks again within one.
-CONTACT_SECONDS = 4.0
-# The bounds of the users' smaller sites; a zone has to be empty sooner here.
-IN_FORCE_SECONDS = 2.0
+# Time bounds apply to a gateway again this long after a disturbance: it detects a
+# silent connection within 3 s and retries within 1 s.
+RECONNECT_SECONDS = 4.0
+# The bounds of the users' smaller sites; the bound for evacuating a zone is tighter.
+ACTIVATION_SECONDS = 2.0
 DRAIN_SECONDS = 2.0
 EVACUATE_SECONDS = 3.0
-# A request that was sent as a connection closed may be lost unread; the way is some
-# milliseconds, and a busy machine is slower.
+# A request that was sent while the gateway closed the connection may be lost unread.
+# That takes some milliseconds; a busy machine is slower.
 CROSSING_SECONDS = 0.2
-# What an endpoint in need bears in a window: this multiple of its rate, and these
-# requests beyond, from gateways that passed on its word so long before.
-NEED_WINDOW_SECONDS = 4.0
-NEED_MULTIPLE = 1.5
-NEED_SLACK = 5
-TOLD_SECONDS = 0.5
-# Callers may meet a connection that a fault has left silent.
+# In a window, a rate-limited endpoint may get this multiple of its rate and these
+# requests beyond. A gateway counts from PEER_NOTICE_SECONDS after its first request
+# in the period on, when it has told the rate to its peers.
+RATE_WINDOW_SECONDS = 4.0
+RATE_TOLERANCE = 1.5
+RATE_SLACK_REQUESTS = 5
+PEER_NOTICE_SECONDS = 0.5
+# Below 1: callers may still use a connection that a fault has left silent.
 RECOVERED_SHARE = 0.9
 
 
 @dataclass(slots=True, frozen=True)
 class Reading:
-    """Hold which version of the configuration a gateway said it has."""
+    """Hold the version of the configuration that a gateway reported."""
 
     gateway: str
-    # Which of its starts answered.
+    # Number of the start of the process that answered.
     start: int
     version: int
     at: float
 
 
-class Judge:
-    """Compare what happened on a site with its promises; each finding is a line."""
+class GuaranteeChecker:
+    """Compare what happened on a site with the guarantees; a finding is one line."""
 
     def __init__(self, site, records, readings):
         self.site = site
@@ -52,54 +53,58 @@
         self.by_id = {record.request_id: record for record in records}
 
     def findings(self):
-        """Return all findings."""
+        """Return the violations found in requests, versions, executions and rates."""
         found = list(self.site.findings)
         for record in self.records:
             if record.ended:
-                found += self.judge_record(record)
-        found += self.judge_versions()
+                found += self.check_request(record)
+        found += self.check_versions()
         for run in self.site.journal.runs:
-            found += self.judge_run(run)
-        for need in self.site.journal.needs:
-            found += self.judge_need(need)
+            found += self.check_execution(run)
+        for rate_limit in self.site.journal.rate_limits:
+            found += self.check_rate_limit(rate_limit)
         return found
 
     # Requests
 
-    def judge_record(self, record):
+    def check_request(self, record):
+        """Yield how a request and its executions violate a guarantee."""
         runs = len(self.runs[record.request_id])
-        once = record.kind is Kind.ONCE
+        once = record.kind is RequestKind.ONCE
         if once and runs > 1:
-            yield self.line(record, f"ran {runs} times")
+            yield self.describe(record, f"ran {runs} times")
         if once and record.ending is Ending.NOT_RUN and runs:
-            yield self.line(record, "ran, though its caller was told that it had not")
+            yield self.describe(
+                record, "ran, though its caller was told that it had not"
+            )
         if runs > MAXIMUM_ATTEMPTS:
-            yield self.line(record, f"was sent to {runs} endpoints")
+            yield self.describe(record, f"was sent to {runs} endpoints")
         if record.ending in (Ending.WRONG, Ending.DENIED):
-            yield self.line(record, f"ended {record.ending}")
+            yield self.describe(record, f"ended {record.ending}")
         if record.ending in (Ending.CUT, Ending.FAILED):
-            yield from self.judge_failure(record, runs)
+            yield from self.check_failure(record, runs)
 
-    def judge_failure(self, record, runs):
-        """Find failures that no fault explains; planned work explains none."""
-        if self.is_disturbed(None, record.began - CONTACT_SECONDS, record.ended):
+    def check_failure(self, record, runs):
+        """Yield a failure that no fault explains; planned work does not explain one."""
+        if self.is_disturbed(None, record.began - RECONNECT_SECONDS, record.ended):
             return
         crossing = record.ended - record.began < CROSSING_SECONDS and not runs
         stopping = any(
-            span.what == record.gateway and span.touches(record.began, record.ended)
+            span.what == record.gateway and span.overlaps(record.began, record.ended)
             for span in self.site.stops
         )
         if not (stopping and crossing):
-            yield self.line(record, f"ended {record.ending} without a fault")
+            yield self.describe(record, f"ended {record.ending} without a fault")
 
-    def came_while_stopping(self, record):
-        """Tell whether a request was sent to a gateway that had been told to stop."""
+    def was_sent_while_stopping(self, record):
+        """Return whether a request was sent to a gateway that was stopping."""
         return any(
-            span.what == record.gateway and span.touches(record.began, record.began)
+            span.what == record.gateway and span.overlaps(record.began, record.began)
             for span in self.site.stops
         )
 
-    def line(self, record, what):
+    def describe(self, record, what):
+        """Return a finding about a request as a line."""
         return (
             f"{record.kind} {record.request_id} at {record.gateway}, "
             f"{record.began:.3f} to {record.ended:.3f}: {what} ({record.detail})"
@@ -108,102 +113,107 @@
     # Bounds in time
 
     def is_disturbed(self, gateway, began, ended):
-        """Tell whether the store, a gateway or, for None, anything was disturbed."""
+        """Return whether the store or a gateway (None: anything) was disturbed."""
         return any(
-            span.touches(began, ended)
+            span.overlaps(began, ended)
             for span in self.site.disturbances
             if gateway is None or span.what in ("store", gateway)
         )
 
-    def in_touch(self, gateway, began, ended):
-        """Tell whether a gateway was undisturbed, and ran on, for long enough."""
-        since = began - CONTACT_SECONDS
+    def must_meet_bounds(self, gateway, began, ended):
+        """Return whether a gateway was undisturbed and running for long enough."""
+        since = began - RECONNECT_SECONDS
         if self.is_disturbed(gateway, since, ended):
             return False
         stopped = (span for span in self.site.stops if span.what == gateway)
-        return not any(span.touches(since, ended) for span in stopped)
+        return not any(span.overlaps(since, ended) for span in stopped)
 
-    def judge_versions(self):
-        """Find gateways whose configuration is behind or went back."""
+    def check_versions(self):
+        """Yield gateways whose configuration is late or went back to an older one."""
         newest = {}
         for reading in self.readings:
             life = (reading.gateway, reading.start)
             if reading.version < newest.get(life, reading.version):
                 yield f"{reading.gateway} went back to version {reading.version}"
             newest[life] = reading.version
-            yield from self.judge_age(reading)
+            yield from self.check_staleness(reading)
 
-    def judge_age(self, reading):
+    def check_staleness(self, reading):
+        """Yield a finding if a reading is older than the bound allows."""
         due = [
             (at, version)
             for at, version in self.site.changes
-            if at + IN_FORCE_SECONDS < reading.at
+            if at + ACTIVATION_SECONDS < reading.at
         ]
         if not due or reading.version >= due[-1][1]:
             return
-        if self.in_touch(reading.gateway, due[-1][0], reading.at):
+        if self.must_meet_bounds(reading.gateway, due[-1][0], reading.at):
             yield (
                 f"{reading.gateway} has version {reading.version} at "
                 f"{reading.at:.3f}; {due[-1][1]} was written at {due[-1][0]:.3f}"
             )
 
-    def judge_run(self, run):
-        """Find work at endpoints that leave or whose zone is out."""
+    def check_execution(self, run):
+        """Yield executions at endpoints that drain or whose zone is out of service."""
         record = self.by_id.get(run.request_id)
         if record is None:
             yield f"{run.request_id} ran at {run.endpoint} and was never sent"
             return
         left = self.site.left.get(run.endpoint)
         late = left is not None and run.at > left + DRAIN_SECONDS
-        if late and self.in_touch(record.gateway, left, run.at):
-            yield self.line(record, f"ran at {run.endpoint}, which was leaving")
+        if late and self.must_meet_bounds(record.gateway, left, run.at):
+            yield self.describe(record, f"ran at {run.endpoint}, which was leaving")
         for span in self.site.zone_spans:
             late = span.began + EVACUATE_SECONDS < run.at < span.ended
             if span.what != run.zone or not late:
                 continue
-            if self.in_touch(record.gateway, span.began, run.at):
-                yield self.line(record, f"ran in {run.zone}, which was out")
+            if self.must_meet_bounds(record.gateway, span.began, run.at):
+                yield self.describe(record, f"ran in {run.zone}, which was out")
 
-    # Endpoints in need
+    # Rate-limited endpoints
 
-    def judge_need(self, need):
-        """Find windows in which an endpoint in need got more than it bears."""
-        counted = list(self.counted_arrivals(need))
-        borne = NEED_MULTIPLE * need.rate * NEED_WINDOW_SECONDS + NEED_SLACK
+    def check_rate_limit(self, rate_limit):
+        """Yield the first window in which an endpoint got more than it may get."""
+        counted = list(self.counted_arrivals(rate_limit))
+        allowed = (
+            RATE_TOLERANCE * rate_limit.rate * RATE_WINDOW_SECONDS + RATE_SLACK_REQUESTS
+        )
         for start in counted:
-            sent = sum(start <= at < start + NEED_WINDOW_SECONDS for at in counted)
-            if sent > borne:
+            sent = sum(start <= at < start + RATE_WINDOW_SECONDS for at in counted)
+            if sent > allowed:
                 yield (
-                    f"{need.endpoint} takes {need.rate} requests a second and got "
-                    f"{sent} in {NEED_WINDOW_SECONDS} s from {start:.3f} on"
+                    f"{rate_limit.endpoint} takes {rate_limit.rate} requests a second "
+                    f"and got {sent} in {RATE_WINDOW_SECONDS} s from {start:.3f} on"
                 )
                 return
 
-    def counted_arrivals(self, need):
-        """Yield when requests came from gateways that are held to the need."""
-        told = {}
-        for at, request_id in need.arrivals:
+    def counted_arrivals(self, rate_limit):
+        """Yield the arrival times from gateways that must follow a rate limit."""
+        first_arrivals = {}
+        for at, request_id in rate_limit.arrivals:
             record = self.by_id.get(request_id)
             if record is None:
                 continue
-            first = told.setdefault(record.gateway, at)
-            is_held = at >= max(need.began + CONTACT_SECONDS, first + TOLD_SECONDS)
-            since = at - CONTACT_SECONDS
+            first = first_arrivals.setdefault(record.gateway, at)
+            is_held = at >= max(
+                rate_limit.began + RECONNECT_SECONDS, first + PEER_NOTICE_SECONDS
+            )
+            since = at - RECONNECT_SECONDS
             disturbed = self.is_gateway_disturbed(record.gateway, since, at)
             if is_held and not disturbed:
                 yield at
 
     def is_gateway_disturbed(self, gateway, began, ended):
-        """Tell whether a gateway itself was stopped, killed, paused or cut off."""
+        """Return whether a gateway was stopped, killed, paused or disconnected."""
         spans = [*self.site.disturbances, *self.site.stops]
         return any(
-            span.what == gateway and span.touches(began, ended) for span in spans
+            span.what == gateway and span.overlaps(began, ended) for span in spans
         )
 
     # Recovery
 
-    def recovered(self, since):
-        """Return the share of requests after a time that were answered."""
+    def answered_share(self, since):
+        """Return the share of the requests sent since a time that were answered."""
         late = [each for each in self.records if each.ended and each.began >= since]
         answered = sum(each.ending is Ending.ANSWERED for each in late)
         return answered / max(len(late), 1)
--- a/tests/soak/planned.py
+++ b/tests/soak/planned.py
@@ -1,4 +1,4 @@
-"""Draw planned work from a seed: stops that overlap, reloads and new documents."""
+"""Draw random planned work: overlapping stops, reloads and new documents."""
 
 from soak.faults import (
     RACING_CHANGES,
@@ -7,26 +7,26 @@
     SettingsReloaded,
 )
 
-# Callers first have to have kept connections.
+# Callers need time to open their persistent connections.
 FIRST_SECONDS = (1.5, 3.0)
-# A stop takes 2.6 s at least: the next gateway is told before this one is back.
+# A stop takes at least 2.6 s, so the next gateway stops before this one is back.
 STEP_SECONDS = (0.6, 2.4)
-# From the last signal of some stops to the first of the next; some of those before are
-# still stopping then.
+# From the last signal of a group of stops to the first of the next group. Some gateways
+# of the first group may still be stopping then.
 REST_SECONDS = (3.0, 9.0)
 IN_TURN_SHARE = 0.6
 CHANGE_SECONDS = (0.3, 2.5)
 
 
 def draw_work(random, names, seconds):
-    """Return (second of the run, fault) of a run on gateways of these names."""
+    """Return (second of the run, fault) pairs in order of time."""
     stops = draw_stops(random, names, seconds)
     changes = draw_changes(random, names, seconds)
     return sorted([*stops, *changes], key=lambda each: each[0])
 
 
 def draw_stops(random, names, seconds):
-    """Stop each gateway in turn, or several at once, over and over."""
+    """Return groups of stops: of each gateway in turn, or of several at once."""
     work = []
     at = random.uniform(*FIRST_SECONDS)
     while at < seconds:
@@ -41,7 +41,7 @@
 
 
 def draw_changes(random, names, seconds):
-    """Reload settings and write versions all the time."""
+    """Return reloads of settings and new versions throughout the run."""
     work = []
     at = random.uniform(*CHANGE_SECONDS)
     while at < seconds:
--- a/tests/soak/processes.py
+++ b/tests/soak/processes.py
@@ -1,4 +1,4 @@
-"""Start, signal and end real gateway processes."""
+"""Start, signal and stop real gateway processes."""
 
 import asyncio
 import json
@@ -12,16 +12,16 @@
 
 from fescuedrum_bench.faultproxy import FaultProxy
 
-# A gateway is ready half a second after its start; a busy machine is far slower.
+# A gateway is ready 0.5 s after its start; a busy machine is far slower.
 START_SECONDS = 15.0
 READY_POLL_SECONDS = 0.1
-# What a process gets beyond its time to stop before it counts as one that does not.
+# Time beyond stop_seconds after which a process counts as late and is killed.
 KILL_SECONDS = 3.0
 
 
 @dataclass(slots=True, frozen=True)
 class Ports:
-    """Hold the ports that all gateways share, each at an address of its own."""
+    """Hold the ports of every gateway; each gateway has its own address."""
 
     callers: int
     ready: int
@@ -29,7 +29,7 @@
 
 
 class GatewayProcess:
-    """Own one gateway process and the proxy between it and the store."""
+    """Manage one gateway process and the proxy between it and the store."""
 
     def __init__(self, number, ports, directory, stop_seconds):
         self.name = f"gateway-{number}"
@@ -41,7 +41,7 @@
         self.store_proxy = None
         self.process = None
         # Whether the process is meant to run.
-        self.wanted = False
+        self.should_run = False
         self.starts = 0
 
     @property
@@ -53,7 +53,7 @@
         return f"http://{self.host}:{self.ports.ready}/readyz"
 
     async def open(self, store_port, seeds):
-        """Open the way to the store and write the settings."""
+        """Start the proxy to the store and write the settings."""
         self.store_proxy = FaultProxy("127.0.0.1", store_port)
         await self.store_proxy.start("127.0.0.1", 0)
         port = self.store_proxy.server.sockets[0].getsockname()[1]
@@ -79,7 +79,8 @@
         return self.directory / f"{self.name}.log"
 
     def start(self):
-        self.wanted = True
+        """Start the process; its output is appended to the log."""
+        self.should_run = True
         self.starts += 1
         command = [sys.executable, "-m", "fescuedrum_platform"]
         with self.log_path.open("ab") as log:
@@ -94,20 +95,21 @@
         return self.process is not None and self.process.poll() is None
 
     @property
-    def ended_by_itself(self):
-        return self.wanted and not self.running
+    def ended_unexpectedly(self):
+        return self.should_run and not self.running
 
     def send_signal(self, number):
         if self.running:
             self.process.send_signal(number)
 
-    def holds(self, number):
-        """Tell whether the process has a handler for a signal, as the kernel says."""
+    def handles_signal(self, number):
+        """Return whether the process has a handler for a signal."""
         status = Path(f"/proc/{self.process.pid}/status").read_text()
         (mask,) = (line for line in status.splitlines() if line.startswith("SigCgt"))
         return bool(int(mask.split()[1], 16) >> (number - 1) & 1)
 
-    async def until_ready(self, session):
+    async def wait_until_ready(self, session):
+        """Wait until the gateway is ready; raise TimeoutError if it takes too long."""
         async with asyncio.timeout(START_SECONDS):
             while not await self.is_ready(session):
                 await asyncio.sleep(READY_POLL_SECONDS)
@@ -116,7 +118,7 @@
         return (await self.read_version(session))[0]
 
     async def read_version(self, session):
-        """Return (ready, version of the configuration); (False, None) unanswered."""
+        """Return (ready, version of the configuration); (False, None) on failure."""
         timeout = aiohttp.ClientTimeout(total=0.5)
         try:
             async with session.get(self.ready_url, timeout=timeout) as answer:
@@ -125,11 +127,14 @@
         except (TimeoutError, aiohttp.ClientError, OSError):
             return False, None
 
-    async def end(self, how=signal.SIGTERM):
-        """Tell the process to end and wait for it; kill it when it does not."""
-        self.wanted = False
+    async def end(self, signal_number=signal.SIGTERM):
+        """Signal the process and wait for its end.
+
+        Return whether it ended in time; it is killed otherwise.
+        """
+        self.should_run = False
         self.send_signal(signal.SIGCONT)
-        self.send_signal(how)
+        self.send_signal(signal_number)
         loop = asyncio.get_running_loop()
         latest = loop.time() + self.stop_seconds + KILL_SECONDS
         while self.running and loop.time() < latest:
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -1,4 +1,4 @@
-"""Play one seed: start a site, spoil it, let it recover and judge."""
+"""Run one seed: start a site, inject faults, let it recover and check it."""
 
 import asyncio
 import collections
@@ -12,25 +12,25 @@
 from soak.balancer import Balancer
 from soak.callers import Caller, KeepingCaller
 from soak.conditions import FAULTS, Conditions, RunKind
-from soak.faults import draw, draw_need, inject
-from soak.judge import RECOVERED_SHARE, Judge, Reading
+from soak.faults import draw_fault, draw_rate_limit, inject
+from soak.judge import RECOVERED_SHARE, GuaranteeChecker, Reading
 from soak.planned import draw_work
 from soak.site import Site
 
 GATEWAYS = 4
 SHORTEST_PAUSE_SECONDS = 0.2
 LONGEST_PAUSE_SECONDS = 1.5
-# From one endpoint's need to the next.
-NEED_PAUSE_SECONDS = (0.2, 6.0)
+# From the start of one rate limit to that of the next.
+RATE_LIMIT_PAUSE_SECONDS = (0.2, 6.0)
 READ_SECONDS = 0.2
-# Faults end within some seconds of their own; callers are watched after that.
+# Callers must be answered again in the WATCHED_SECONDS after this time.
 RECOVERY_SECONDS = 4.0
 WATCHED_SECONDS = 2.0
 
 
 @dataclass(slots=True, frozen=True)
 class SoakPlan:
-    """Say what to play; the logs go to a directory."""
+    """Hold the parameters of a run; directory gets the logs."""
 
     seed: int
     seconds: float
@@ -41,18 +41,18 @@
 
 @dataclass(slots=True)
 class SoakResult:
-    """Hold what came of one run."""
+    """Hold the result of a run."""
 
     seed: int
     faults: list[str]
     findings: list[str]
     endings: dict[str, int]
-    # Of these, the ones at gateways that had been told to stop.
+    # The part of endings at gateways that were stopping.
     while_stopping: dict[str, int]
 
 
 class Soak:
-    """Own one run and its tasks."""
+    """Manage one run and its tasks."""
 
     def __init__(self, plan):
         self.plan = plan
@@ -64,7 +64,7 @@
         self.loop = asyncio.get_running_loop()
 
     async def run(self):
-        """Play the plan; return a SoakResult."""
+        """Run the plan and return a SoakResult."""
         try:
             async with aiohttp.ClientSession() as session:
                 return await self.play(session)
@@ -72,9 +72,10 @@
             await self.site.close()
 
     async def play(self, session):
+        """Start the site, inject faults, let it recover and return a SoakResult."""
         await self.site.open()
         for gateway in self.site.gateways:
-            await gateway.until_ready(session)
+            await gateway.wait_until_ready(session)
         lasting = [asyncio.create_task(self.read_versions(session))]
         match self.plan.conditions.kind:
             case RunKind.FAULTS:
@@ -82,12 +83,12 @@
                 await self.inject_faults()
             case RunKind.STOPS:
                 balancer = Balancer(self.site.gateways)
-                await balancer.look(session)
+                await balancer.probe_gateways(session)
                 lasting.append(asyncio.create_task(balancer.run(session)))
                 lasting += self.start_callers(KeepingCaller, balancer)
                 await self.do_planned_work()
         await asyncio.sleep(RECOVERY_SECONDS)
-        healed = self.loop.time()
+        recovered_at = self.loop.time()
         await asyncio.sleep(WATCHED_SECONDS)
         broken = [repr(task.exception()) for task in lasting if task.done()]
         self.site.findings += [
@@ -96,54 +97,54 @@
         for task in lasting:
             task.cancel()
         await asyncio.gather(*lasting, return_exceptions=True)
-        return self.judge(healed)
+        return self.check_results(recovered_at)
 
     def start_callers(self, build, *arguments):
-        """Return the tasks of the callers."""
+        """Start the callers and return their tasks."""
         tasks = []
         for number in range(self.plan.conditions.callers):
-            chance = random.Random(f"{self.plan.seed}/{number}")
-            caller = build(number, self.site, self.records, chance, *arguments)
+            rng = random.Random(f"{self.plan.seed}/{number}")
+            caller = build(number, self.site, self.records, rng, *arguments)
             tasks.append(asyncio.create_task(caller.run()))
         return tasks
 
     async def inject_faults(self):
-        """Bring faults about one after the other; those that last overlap."""
+        """Inject random faults one after the other; they may overlap."""
         until = self.loop.time() + self.plan.seconds
-        running = [asyncio.create_task(self.bring_needs(until))]
+        running = [asyncio.create_task(self.inject_rate_limits(until))]
         while self.loop.time() < until:
-            running.append(self.begin(draw(self.random, self.site)))
+            running.append(self.start_fault(draw_fault(self.random, self.site)))
             await asyncio.sleep(
                 self.random.uniform(SHORTEST_PAUSE_SECONDS, LONGEST_PAUSE_SECONDS)
             )
         await asyncio.gather(*running)
 
-    async def bring_needs(self, until):
-        """Let endpoints be in need, drawn apart so that a seed keeps its faults."""
-        chance = random.Random(f"{self.plan.seed}/needs")
+    async def inject_rate_limits(self, until):
+        """Inject rate limits; a separate generator keeps the faults of a seed."""
+        rng = random.Random(f"{self.plan.seed}/needs")
         running = []
         while self.loop.time() < until:
-            await asyncio.sleep(chance.uniform(*NEED_PAUSE_SECONDS))
-            running.append(self.begin(draw_need(chance, self.site)))
+            await asyncio.sleep(rng.uniform(*RATE_LIMIT_PAUSE_SECONDS))
+            running.append(self.start_fault(draw_rate_limit(rng, self.site)))
         await asyncio.gather(*running)
 
     async def do_planned_work(self):
-        """Do what is planned at its time; stops overlap."""
+        """Start planned work at its times; stops may overlap."""
         began = self.loop.time()
         names = [each.name for each in self.site.gateways]
         running = []
         for second, work in draw_work(self.random, names, self.plan.seconds):
             await asyncio.sleep(began + second - self.loop.time())
-            running.append(self.begin(work))
+            running.append(self.start_fault(work))
         await asyncio.gather(*running)
 
-    def begin(self, fault):
-        """Note a fault; return the task that brings it about."""
+    def start_fault(self, fault):
+        """Record a fault; return the task that injects it."""
         self.faults.append(f"{self.loop.time():.3f} {fault}")
         return asyncio.create_task(inject(fault, self.site))
 
     async def read_versions(self, session):
-        """Ask each gateway for its version over and over, and see that it runs."""
+        """Poll the version of each gateway, and restart one that ended unexpectedly."""
         while True:
             for gateway in self.site.gateways:
                 start = gateway.starts
@@ -152,31 +153,34 @@
                     now = self.loop.time()
                     reading = Reading(gateway.name, start, version, now)
                     self.readings.append(reading)
-                if gateway.ended_by_itself:
+                if gateway.ended_unexpectedly:
                     self.site.findings.append(f"{gateway.name} ended by itself")
                     gateway.start()
             await asyncio.sleep(READ_SECONDS)
 
-    def judge(self, healed):
-        judge = Judge(self.site, self.records, self.readings)
-        findings = judge.findings()
-        share = judge.recovered(healed)
+    def check_results(self, recovered_at):
+        """Return the SoakResult; callers are expected to recover by recovered_at."""
+        checker = GuaranteeChecker(self.site, self.records, self.readings)
+        findings = checker.findings()
+        share = checker.answered_share(recovered_at)
         if share < RECOVERED_SHARE:
             findings.append(f"only {share:.2f} were answered after all faults")
         ended = [record for record in self.records if record.ended]
-        stopping = [record for record in ended if judge.came_while_stopping(record)]
+        stopping = [
+            record for record in ended if checker.was_sent_while_stopping(record)
+        ]
         return SoakResult(
             self.plan.seed, self.faults, findings, count(ended), count(stopping)
         )
 
 
 def count(records):
-    """Return how many of the requests ended how."""
+    """Return the number of requests by ending."""
     return dict(collections.Counter(record.ending.value for record in records))
 
 
 async def play(seed, seconds=None, directory=None, conditions=FAULTS):
-    """Play one seed; without a directory the logs are dropped."""
+    """Run one seed; without a directory the logs are discarded."""
     with tempfile.TemporaryDirectory() as scratch:
         directory = Path(directory or scratch)
         plan = SoakPlan(seed, seconds or conditions.seconds, directory, conditions)
--- a/tests/soak/site.py
+++ b/tests/soak/site.py
@@ -1,4 +1,4 @@
-"""Assemble the processes and stand-ins of one run."""
+"""Assemble the gateway processes and simulated parts of one run."""
 
 import asyncio
 import contextlib
@@ -7,7 +7,7 @@
 from support.gateways import free_ports
 
 from soak import wire
-from soak.conditions import Kind, Streams
+from soak.conditions import RequestKind, Streams
 from soak.endpoints import Journal, StandInEndpoint
 from soak.processes import GatewayProcess, Ports
 from soak.store import StandInStore
@@ -38,26 +38,27 @@
 
 
 ROUTES = (
-    SoakRoute("once", f"/{Kind.ONCE}/", "non_idempotent", "plain"),
-    SoakRoute("again", f"/{Kind.AGAIN}/", "idempotent", "plain"),
-    SoakRoute("stream", f"/{Kind.STREAM}/", "stream", "streams"),
+    SoakRoute("once", f"/{RequestKind.ONCE}/", "non_idempotent", "plain"),
+    SoakRoute("again", f"/{RequestKind.AGAIN}/", "idempotent", "plain"),
+    SoakRoute("stream", f"/{RequestKind.STREAM}/", "stream", "streams"),
 )
 
 
 @dataclass(slots=True)
 class Span:
-    """Say that something was out of order from a time to another, in loop time."""
+    """Record that something was disturbed, stopped or out between two loop times."""
 
     what: str
     began: float
     ended: float = float("inf")
 
-    def touches(self, began, ended):
+    def overlaps(self, began, ended):
+        """Return whether the span has a moment in common with an interval."""
         return self.began <= ended and self.ended >= began
 
 
 class Site:
-    """Own everything that runs, and note what was disturbed when."""
+    """Hold all parts of a run, and record when each was disturbed."""
 
     def __init__(self, random, plan):
         self.random = random
@@ -69,24 +70,25 @@
         self.endpoints = []
         ports = Ports(*free_ports(3))
         self.gateways = [
-            GatewayProcess(number, ports, plan.directory, self.conditions.stop)
+            GatewayProcess(number, ports, plan.directory, self.conditions.stop_seconds)
             for number in range(plan.gateways)
         ]
-        timeout = round(self.conditions.patience * 1000)
+        timeout = round(self.conditions.patience_seconds * 1000)
         self.document = SoakDocument(1, ROUTES, timeout)
         self.disturbances = []
         self.stops = []
         self.zone_spans = []
         self.changes = []
-        # Loop time at which an endpoint announced its leave.
+        # Loop time at which each endpoint announced that it is draining.
         self.left = {}
         self.leaving = set()
         self.zones_out = set()
         self.findings = []
         self.closing = False
-        self.named = 0
+        self.endpoints_added = 0
 
     async def open(self):
+        """Start the store, the endpoints and the gateways."""
         port = await self.store.start("127.0.0.1")
         self.put_document(self.document)
         for zone in ZONES:
@@ -97,6 +99,7 @@
             gateway.start()
 
     async def close(self):
+        """Stop all parts."""
         self.closing = True
         for gateway in self.gateways:
             await gateway.close()
@@ -105,15 +108,18 @@
         await self.store.stop()
 
     def gateway(self, name):
+        """Return the gateway of this name, or None."""
         return next((each for each in self.gateways if each.name == name), None)
 
     def endpoint(self, name):
+        """Return the endpoint of this name, or None."""
         return next((each for each in self.endpoints if each.name == name), None)
 
     async def add_endpoint(self, service, zone):
-        self.named += 1
+        """Start an endpoint and list it in the store."""
+        self.endpoints_added += 1
         endpoint = StandInEndpoint(
-            f"i-{self.named}", service, zone, self.journal, self.streams
+            f"i-{self.endpoints_added}", service, zone, self.journal, self.streams
         )
         await endpoint.start()
         self.endpoints.append(endpoint)
@@ -121,20 +127,24 @@
         self.store.put(wire.ENDPOINTS, endpoint.name, line)
 
     async def remove_endpoint(self, endpoint):
+        """Delete an endpoint from the store and stop it."""
         self.store.put(wire.ENDPOINTS, endpoint.name, None)
         self.endpoints.remove(endpoint)
         await endpoint.stop()
 
     def put_document(self, document):
+        """Write a version of the configuration and record the time."""
         self.document = document
         self.store.put(wire.OPERATORS, wire.DOCUMENT, wire.encode_document(document))
         self.changes.append((self.loop.time(), document.version))
 
-    def note_left(self, endpoint):
+    def record_departure(self, endpoint):
+        """Record that an endpoint of this name announces now that it is draining."""
         self.left[endpoint] = self.loop.time()
 
     @contextlib.contextmanager
-    def span(self, spans, what):
+    def record_span(self, spans, what):
+        """Record the span of the block in a list."""
         span = Span(what, self.loop.time())
         spans.append(span)
         try:
@@ -142,15 +152,18 @@
         finally:
             span.ended = self.loop.time()
 
-    def disturbed(self, what):
-        return self.span(self.disturbances, what)
+    def record_disturbance(self, what):
+        """Record the block as a disturbance of the store, a gateway or an endpoint."""
+        return self.record_span(self.disturbances, what)
 
-    def planned(self, gateway):
-        return self.span(self.stops, gateway)
+    def record_stop(self, gateway):
+        """Record the block as a planned stop of a gateway."""
+        return self.record_span(self.stops, gateway)
 
     @contextlib.contextmanager
-    def zone_out(self, zone):
+    def record_zone_out(self, zone):
+        """Record that a zone is out of service during the block."""
         self.zones_out.add(zone)
-        with self.span(self.zone_spans, zone):
+        with self.record_span(self.zone_spans, zone):
             yield
         self.zones_out.discard(zone)
--- a/tests/soak/store.py
+++ b/tests/soak/store.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform's store, with outages of its own."""
+"""Simulate the platform's store and its outages."""
 
 import asyncio
 import base64
@@ -11,27 +11,27 @@
 
 SLOW_SECONDS = 0.4
 HISTORY_GONE_STATUS = 410
-FULL_PAGE = 500
+PAGE_ROWS = 500
 
 
 class StoreMode(enum.Enum):
-    """Say how the store treats calls."""
+    """List the ways in which the store handles calls."""
 
     SERVING = "serving"
     BUSY = "busy"
     SLOW = "slow"
-    # Writes are done and not answered; reads are not answered either.
+    # Writes are applied, but neither writes nor reads get a response.
     SILENT = "silent"
 
 
 class StandInStore:
-    """Hold tables of rows; one counter gives every change its version."""
+    """Hold tables of rows; all changes get their version from one counter."""
 
     def __init__(self):
         self.rows = {}
         self.version = 0
-        # Changes at or below this version can't be told one by one.
-        self.forgotten = -1
+        # The feed no longer has the changes up to this version.
+        self.forgotten_version = -1
         self.mode = StoreMode.SERVING
         self.changed = asyncio.Event()
         self.runner = None
@@ -51,17 +51,18 @@
         await self.runner.cleanup()
 
     def put(self, table, key, value):
-        """Write or, with None, delete a row; the write counts at once."""
+        """Write a row, or delete it if value is None; the change applies at once."""
         self.version += 1
         self.rows.setdefault(table, {})[key] = (value, self.version)
         self.changed.set()
         self.changed = asyncio.Event()
 
     def forget_history(self):
-        self.forgotten = self.version
+        """Make the feed refuse readers that are behind the current version."""
+        self.forgotten_version = self.version
 
-    async def behave(self):
-        """Do to a call what the mode says; return a refusal or None."""
+    async def apply_mode(self):
+        """Delay or refuse a call as the mode says; return a refusal or None."""
         match self.mode:
             case StoreMode.BUSY:
                 return web.Response(status=503)
@@ -74,11 +75,13 @@
         return None
 
     def answer(self, rows):
+        """Return the response that holds encoded rows."""
         body = {"rows": rows, "schema_version": self.version, "has_more": False}
         return web.json_response(body | {"now_ms": 0})
 
     async def get_rows(self, request):
-        if refusal := await self.behave():
+        """Return the rows of a table from a key on."""
+        if refusal := await self.apply_mode():
             return refusal
         table = request.query["table"]
         rows = [
@@ -86,23 +89,25 @@
             for key, (value, version) in sorted(self.rows.get(table, {}).items())
             if value is not None and key >= request.query.get("from", "")
         ]
-        return self.answer(rows[:FULL_PAGE])
+        return self.answer(rows[:PAGE_ROWS])
 
     async def feed_rows(self, request):
-        if refusal := await self.behave():
+        """Wait for changes of a table after a version and return them."""
+        if refusal := await self.apply_mode():
             return refusal
         table, after = request.query["table"], int(request.query["after"])
-        if after < self.forgotten:
+        if after < self.forgotten_version:
             return web.Response(status=HISTORY_GONE_STATUS)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(int(request.query["wait_ms"]) / 1000):
                 while not self.changes(table, after):
                     await self.changed.wait()
-        if refusal := await self.behave():
+        if refusal := await self.apply_mode():
             return refusal
         return self.answer(self.changes(table, after))
 
     def changes(self, table, after):
+        """Return the encoded changes of a table after a version, in their order."""
         changed = [
             (version, key, value)
             for key, (value, version) in self.rows.get(table, {}).items()
@@ -114,10 +119,11 @@
         ]
 
     async def write_rows(self, request):
+        """Apply the writes of a call."""
         if self.mode is StoreMode.BUSY:
             return web.Response(status=503)
         for row in (await request.json())["puts"]:
             self.put(row["table"], row["key"], base64.b64decode(row["value"]))
-        if refusal := await self.behave():
+        if refusal := await self.apply_mode():
             return refusal
         return self.answer([])
--- a/tests/soak/wire.py
+++ b/tests/soak/wire.py
@@ -1,4 +1,4 @@
-"""Encode rows as the platform's store holds them, and name its headers."""
+"""Encode rows of the platform's store and define its header names."""
 
 import base64
 import json
@@ -19,7 +19,7 @@
 
 
 def encode_row(table, key, value, version):
-    """Return a row as the store tells it; a value of None is a deletion."""
+    """Return a row in the store's JSON form; a value of None means a deletion."""
     row = {"table": table, "part": "", "key": key, "schema_version": version}
     if value is None:
         return row | {"deleted": True}
@@ -27,7 +27,7 @@
 
 
 def encode_document(document):
-    """Return the operators' configuration as they write it."""
+    """Return the operators' configuration as JSON."""
     routes = [
         {
             "name": route.name,
@@ -57,7 +57,7 @@
 
 
 def encode_endpoint(endpoint, *, draining):
-    """Return an endpoint's line in the list."""
+    """Return an endpoint's row as JSON."""
     return json.dumps(
         {
             "service": endpoint.service,
@@ -74,4 +74,5 @@
 
 
 def zone_out_key(zone):
+    """Return the key of the row that takes a zone out of service."""
     return f"evacuate/{zone}"
