--- a/tests/integration/test_console.py
+++ b/tests/integration/test_console.py
@@ -42,7 +42,7 @@
         (form,) = [form for form in browser.page.forms if form.action == EDIT]
         assert form.fields["organisations.0.weight"] == "heavy"
         # Any entry can go on with the draft: it travels with the form.
-        browser.move(site.entries[1].url)
+        browser.switch_entry(site.entries[1].url)
         weight = {"organisations.0.weight": "2.5"}
         text = await browser.send(EDIT, button="review", **weight)
         assert "organisation club: weight changed from 1.0 to 2.5" in text
--- a/tests/integration/test_gateway.py
+++ b/tests/integration/test_gateway.py
@@ -70,8 +70,8 @@
     The endpoint runs it and closes the connection before it answers. Whether it ran
     can't be known, so that no other endpoint may get it, and no promise is made.
     """
-    first = StandInEndpoint("e-1", engines.hang_up)
-    second = StandInEndpoint("e-2", engines.hang_up)
+    first = StandInEndpoint("e-1", engines.close_unanswered)
+    second = StandInEndpoint("e-2", engines.close_unanswered)
     document = document_of(RequestKind.NON_IDEMPOTENT)
     async with site(first, second, document=document) as (running, session):
         for method in ("POST", "PUT", "DELETE"):
@@ -80,7 +80,7 @@
     assert len(first.seen) + len(second.seen) == 3
 
 
-@pytest.mark.parametrize("fault", [engines.hang_up, engines.whole(b"", 500)])
+@pytest.mark.parametrize("fault", [engines.close_unanswered, engines.whole(b"", 500)])
 async def test_an_idempotent_request_is_sent_to_another_endpoint(fault):
     bad = StandInEndpoint("bad", fault)
     good = StandInEndpoint("good", engines.whole())
@@ -107,7 +107,7 @@
     The first endpoint closes the connection without an answer, and the second one
     refuses the repeat.
     """
-    first = StandInEndpoint("e-1", engines.hang_up)
+    first = StandInEndpoint("e-1", engines.close_unanswered)
     second = StandInEndpoint("e-2", engines.refusing())
     async with site(first, second) as (running, session):
         statuses = []
@@ -179,7 +179,7 @@
 
 
 async def test_a_silent_endpoint_is_given_up_at_the_routes_timeout():
-    endpoint = StandInEndpoint("e-1", engines.say_nothing)
+    endpoint = StandInEndpoint("e-1", engines.never_answer)
     document = document_of(RequestKind.NON_IDEMPOTENT, timeout=0.5)
     loop = asyncio.get_running_loop()
     async with site(endpoint, document=document) as (running, session):
@@ -190,7 +190,7 @@
 
 async def test_an_endpoint_stops_when_its_caller_leaves():
     """Engines write streams that nobody reads, while others wait for their places."""
-    endpoint = StandInEndpoint("e-1", engines.say_nothing)
+    endpoint = StandInEndpoint("e-1", engines.never_answer)
     async with site(endpoint) as (running, session):
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.3):
@@ -327,7 +327,7 @@
     """Seven gateways each send their requests to the engine that they think is idle."""
     store = MemoryRowStore()
     store.put("operators", "document", build_routing_document())
-    busy = await StandInEndpoint("busy", engines.say_nothing).start()
+    busy = await StandInEndpoint("busy", engines.never_answer).start()
     store.put("endpoints", "busy", busy.listed())
     ports = free_ports(3)
     async with (
--- a/tests/integration/test_process_ends.py
+++ b/tests/integration/test_process_ends.py
@@ -13,10 +13,10 @@
     KEY,
     Caller,
     TlsCaller,
-    narrow,
     open_socket,
     running_agent,
     running_entry,
+    shrink_send_buffer,
 )
 from support.peers import Authority, build_entry_side
 
@@ -56,7 +56,7 @@
     settings = {"notice_seconds": 0.3, "drain_seconds": 2.5}
     async with running_entry(monkeypatch, **settings) as (running, answers):
         before = await begin(running, "/wait/1.6")
-        running.tell()
+        running.request_stop()
         await asyncio.sleep(0.7)
         late = await Caller.connect(running)
         status, head, _, whole = await late.ask("/wait/5")
@@ -82,7 +82,7 @@
     settings = {"notice_seconds": 0.1, "drain_seconds": 0.9}
     async with running_entry(monkeypatch, **settings) as (running, _):
         before = await begin(running, "/wait/4")
-        running.tell()
+        running.request_stop()
         assert await running.end() < 1.0 + END_SECONDS
         assert not (await before)[3]
 
@@ -98,9 +98,9 @@
         resting = await Caller.connect(running)
         assert (await resting.ask("/wait/0"))[0] == 200
         before = await begin(running, "/wait/2")
-        running.tell()
-        assert not await resting.closed(0.15)
-        assert await resting.closed(1.0)
+        running.request_stop()
+        assert not await resting.closes_within(0.15)
+        assert await resting.closes_within(1.0)
         assert not before.done()
         assert (await before)[0] == 200
 
@@ -110,11 +110,11 @@
     """A program that lists models first keeps its connection to a stopping entry."""
     async with running_entry(monkeypatch, notice_seconds=1.0) as (running, _):
         caller = await Caller.connect(running)
-        running.tell()
+        running.request_stop()
         await running.until(lambda entry: entry.leaving)
         await caller.send_bytes(f"GET {path} HTTP/1.1\r\nHost: h\r\n\r\n".encode())
         assert "connection: close" in (await caller.read())[1]
-        assert await caller.closed(0.5)
+        assert await caller.closes_within(0.5)
 
 
 async def test_a_stopping_entry_sends_an_answer_to_its_last_byte(monkeypatch):
@@ -128,7 +128,7 @@
         caller = await Caller.connect(running)
         await caller.send(f"/services/bookings/bytes/{ANSWER_BYTES}")
         await running.until(lambda entry: answers.paths and not entry.running)
-        running.tell()
+        running.request_stop()
         await asyncio.sleep(1.0)
         status, _, body, whole = await caller.read()
         assert (status, len(body), whole) == (200, ANSWER_BYTES, True)
@@ -147,7 +147,7 @@
         await caller.handshake()
         await caller.send(f"/services/bookings/bytes/{ANSWER_BYTES}")
         await running.until(lambda entry: answers.paths and not entry.running)
-        running.tell()
+        running.request_stop()
         await asyncio.sleep(1.0)
         async with asyncio.timeout(5.0):
             status, _, body, whole = await caller.read()
@@ -167,7 +167,7 @@
         await caller.send("/services/bookings/wait/2")
         await running.until(lambda _: answers.paths)
         caller.close()
-        running.tell()
+        running.request_stop()
         assert await running.end() > 1.5
 
 
@@ -184,7 +184,7 @@
         caller = TlsCaller(await open_socket(running.port), context)
         await caller.handshake()
         assert (await caller.ask("/wait/0"))[0] == 200
-        running.tell()
+        running.request_stop()
         assert await running.end() < 4.0
         caller.close()
 
@@ -197,7 +197,7 @@
     settings = {"notice_seconds": 0.1, "drain_seconds": 3.0}
     async with running_entry(monkeypatch, **settings) as (running, _):
         before = await begin(running, "/wait/1.5")
-        running.tell()
+        running.request_stop()
         await asyncio.sleep(0.5)
         accepting = Changes(running.process).accept(None)
         taken = asyncio.run_coroutine_threadsafe(accepting, running.loop)
@@ -216,7 +216,7 @@
         caller = await Caller.connect(running)
         await caller.send(f"/services/bookings/bytes/{20 * ANSWER_BYTES}")
         await running.until(lambda _: answers.paths)
-        running.tell()
+        running.request_stop()
         await running.end()
         caller.close()
     (lost,) = told(caplog, "answer not delivered")
@@ -230,7 +230,7 @@
         caller = await Caller.connect(running)
         await caller.send(f"/services/bookings/bytes/{20 * ANSWER_BYTES}")
         await running.until(lambda _: answers.paths)
-        running.tell()
+        running.request_stop()
         assert await running.end() < 1.0 + END_SECONDS
         caller.close()
 
@@ -241,7 +241,7 @@
     settings = {"notice_seconds": 0.1, "drain_seconds": 0.9}
     async with running_entry(monkeypatch, **settings) as (running, _):
         before = await begin(running, "/wait/4")
-        running.tell()
+        running.request_stop()
         await running.end()
         await before
     (began,) = told(caplog, "entry draining")
@@ -260,7 +260,7 @@
         connection = await link_to(running)
         connection.send(request=build_request(path="/wait/2", budget_ms=9000))
         await running.until(lambda agent: agent.gate.running)
-        running.tell()
+        running.request_stop()
         await running.end()
         connection.close()
     (began,) = told(caplog, "agent draining")
@@ -292,7 +292,7 @@
     settings = {"notice_seconds": 0.1, "drain_seconds": 3.0}
     async with running_entry(monkeypatch, **settings) as (running, _):
         caller = await begin_body(running)
-        running.tell()
+        running.request_stop()
         await asyncio.sleep(1.0)
         await caller.send_bytes(b"}")
         async with asyncio.timeout(5.0):
@@ -311,7 +311,7 @@
     settings = {"notice_seconds": 0.3, "drain_seconds": 1.7}
     async with running_entry(monkeypatch, **settings) as (running, answers):
         caller = None if late else await begin_body(running)
-        running.tell()
+        running.request_stop()
         caller = caller or await begin_body(running)
         async with asyncio.timeout(5.0):
             status, head, _, whole = await caller.read()
@@ -389,7 +389,7 @@
 
 def narrow_sessions(agent):
     for session in agent.sessions:
-        narrow(session.connection.writer.transport)
+        shrink_send_buffer(session.connection.writer.transport)
 
 
 def runs(agent):
@@ -423,7 +423,7 @@
         running.loop.call_soon_threadsafe(narrow_sessions, running.process)
         ask_unread(connection)
         await running.until(lambda agent: agent.gate.answers and not runs(agent))
-        running.tell()
+        running.request_stop()
         await asyncio.sleep(0.5)
         connection.writer.transport.resume_reading()
         size, end = await read_end(connection, 1)
@@ -457,7 +457,7 @@
         ask_unread(connection)
         await running.until(lambda agent: agent.gate.answers and not runs(agent))
         beating = asyncio.create_task(send_heartbeats(connection))
-        running.tell()
+        running.request_stop()
         await asyncio.sleep(1.0)
         connection.writer.transport.resume_reading()
         size, end = await read_end(connection, 1)
@@ -480,7 +480,7 @@
     ):
         connection = await link_to(running)
         await running.until(lambda agent: agent.sessions)
-        running.tell()
+        running.request_stop()
         await asyncio.sleep(0.2)
         connection.send(request=build_request(path="/wait/0", key="k", incarnation=1))
         refusal = await read_body(connection, frames.Refusal)
@@ -532,7 +532,7 @@
         fence = frames.Fence(1, 1, "key-1", 1, incarnation=1, patience_ms=1500)
         connection.send(fence=fence)
         await asyncio.sleep(0.1)
-        running.tell()
+        running.request_stop()
         reply = await read_body(connection, frames.FenceReply)
         assert reply is not None
         assert reply.verdict == FenceResult.FENCED
@@ -559,7 +559,7 @@
         running.loop.call_soon_threadsafe(narrow_sessions, running.process)
         ask_unread(connection)
         await running.until(lambda agent: agent.gate.answers)
-        running.tell()
+        running.request_stop()
         assert await running.end() < 0.8 + END_SECONDS
         connection.close()
 
@@ -584,7 +584,7 @@
                 )
             )
         await running.until(lambda agent: agent.gate.queue.length == 1)
-        running.tell()
+        running.request_stop()
         _, refused = await read_end(connection, 2, seconds=0.6)
         assert (refused.outcome, refused.reason) == (Outcome.NOT_RUN, "leaving")
         size, end = await read_end(connection, 1)
@@ -611,7 +611,7 @@
         connection.send(request=build_request(**asked))
         await running.until(lambda agent: agent.gate.running)
         connection.writer.transport.abort()
-        running.tell()
+        running.request_stop()
         await asyncio.sleep(1.0)
         connection = await link_to(running)
         connection.send(request=build_request(attach_only=True, **asked))
--- a/tests/support/browser.py
+++ b/tests/support/browser.py
@@ -94,7 +94,7 @@
     async def __aexit__(self, *_):
         await self.session.close()
 
-    def move(self, url):
+    def switch_entry(self, url):
         """Go on at another entry behind the same balancer, with the same cookies."""
         jar = self.session.cookie_jar
         cookies = jar.filter_cookies(URL(self.url + "/console/"))
--- a/tests/support/claims_model.py
+++ b/tests/support/claims_model.py
@@ -39,7 +39,7 @@
 FINAL = (Tell, Replay, Record, RefuseBody)
 
 
-class BrokenPromiseError(AssertionError):
+class GuaranteeViolationError(AssertionError):
     """Report a broken promise."""
 
 
@@ -176,7 +176,7 @@
         match entry.step:
             case Tell(outcome=Outcome.NOT_RUN, key_checked=checked):
                 if checked and set(entry.ran_before) & set(self.executions):
-                    raise BrokenPromiseError(
+                    raise GuaranteeViolationError(
                         "told not run, but it ran before it was asked for"
                     )
             case Replay(answer):
@@ -190,18 +190,18 @@
 
     def check_answer(self, entry, body):
         if len(self.executions) != 1:
-            raise BrokenPromiseError("told answered, but it did not run")
+            raise GuaranteeViolationError("told answered, but it did not run")
         if body != entry.body:
-            raise BrokenPromiseError("got the answer to another request")
+            raise GuaranteeViolationError("got the answer to another request")
 
     def check(self):
         if len(self.executions) > 1:
-            raise BrokenPromiseError(f"ran twice: {self.executions}")
+            raise GuaranteeViolationError(f"ran twice: {self.executions}")
         for entry in self.entries:
             match entry.step:
                 case Tell(outcome=Outcome.NOT_RUN):
                     if entry.request.token in self.executions:
-                        raise BrokenPromiseError("told not run, but it ran")
+                        raise GuaranteeViolationError("told not run, but it ran")
 
     def begin(self, index):
         self.entries[index].ran_before = tuple(self.executions)
@@ -355,7 +355,7 @@
     return len(seen)
 
 
-def wander(world, random, steps=80):
+def walk_randomly(world, random, steps=80):
     """Take one random walk; a walk that can't go on must have told every caller."""
     packed = pickle.dumps(world)
     for _ in range(steps):
--- a/tests/support/ends.py
+++ b/tests/support/ends.py
@@ -74,7 +74,7 @@
                     self.task.result()
                 await asyncio.sleep(POLL_SECONDS)
 
-    def tell(self):
+    def request_stop(self):
         """Tell the process to stop, as a signal would."""
         self.told_at = asyncio.get_running_loop().time()
         self.loop.call_soon_threadsafe(self.stop.set)
@@ -88,7 +88,7 @@
     async def end_by_force(self):
         """End a process that a failed test has left, or that does not stop."""
         if not self.task.done():
-            self.tell()
+            self.request_stop()
             await asyncio.wait([self.task], timeout=PATIENCE_SECONDS)
         if not self.task.done():
             self.loop.call_soon_threadsafe(self.main_task.cancel)
@@ -143,7 +143,7 @@
             await asyncio.sleep(float(number))
             await self.reply.write(b"whole")
         else:
-            narrow(self.reply.http_request.transport)
+            shrink_send_buffer(self.reply.http_request.transport)
             await self.reply.write(b"x" * int(number))
         await self.reply.finish(Outcome.ANSWERED)
 
@@ -188,7 +188,7 @@
         yield process
 
 
-def narrow(transport):
+def shrink_send_buffer(transport):
     """Make the kernel hold little of what is sent, as for a slow reader far away."""
     sock = transport.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, NARROW_BYTES)
@@ -252,7 +252,7 @@
         await self.send(f"/services/bookings{path}", *headers, body=body)
         return await self.read()
 
-    async def closed(self, seconds):
+    async def closes_within(self, seconds):
         """Tell whether the entry closes the connection within so many seconds."""
         try:
             async with asyncio.timeout(seconds):
--- a/tests/support/engines.py
+++ b/tests/support/engines.py
@@ -97,7 +97,7 @@
     return whole(b"", status, Not_Run="1")
 
 
-async def hang_up(seen):
+async def close_unanswered(seen):
     """Close the connection without an answer."""
     seen.writer.close()
 
@@ -110,7 +110,7 @@
     seen.writer.transport.abort()
 
 
-async def say_nothing(seen):
+async def never_answer(seen):
     await asyncio.sleep(60)
 
 
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -118,12 +118,12 @@
     """Return a play of a fleet that has come to its end."""
 
     async def run():
-        return await FleetPlay(FleetShape(**shape)).run()
+        return await FleetSimulation(FleetShape(**shape)).run()
 
     return run_paused(run())
 
 
-class FleetPlay:
+class FleetSimulation:
     """Send callers through gateways; outcomes counts on time, late and refused."""
 
     def __init__(self, shape):
--- a/tests/support/groups.py
+++ b/tests/support/groups.py
@@ -138,7 +138,9 @@
         if fate < self.late:
             delay = self.random.uniform(*LATEST_SECONDS)
             self.tasks.append(
-                asyncio.create_task(self.take_late(delay, address[1], epoch, order))
+                asyncio.create_task(
+                    self.carry_out_late(delay, address[1], epoch, order)
+                )
             )
             await asyncio.sleep(0.25)
             return OrderResult.UNANSWERED
@@ -147,7 +149,7 @@
             return OrderResult.UNANSWERED
         return self.take(address[1], epoch, order)
 
-    async def take_late(self, delay, number, epoch, order):
+    async def carry_out_late(self, delay, number, epoch, order):
         await asyncio.sleep(delay)
         self.take(number, epoch, order)
 
--- a/tests/support/overload.py
+++ b/tests/support/overload.py
@@ -44,7 +44,7 @@
         return self.running + len(self.waiting)
 
 
-class OverloadPlay:
+class OverloadSimulation:
     """Send callers at a rate that changes; count by second what became of them.
 
     outcomes[second of the first try] counts "on time", "late" and "refused".
--- a/tests/unit/test_claims_model.py
+++ b/tests/unit/test_claims_model.py
@@ -8,7 +8,7 @@
 import random
 
 import pytest
-from support.claims_model import BrokenPromiseError, World, explore, wander
+from support.claims_model import GuaranteeViolationError, World, explore, walk_randomly
 
 from fescuedrum.claims import ledger as ledgers
 from fescuedrum.claims.frames import DuplicateFilter
@@ -33,7 +33,7 @@
 def test_random_walks_of_three_callers_two_agents_and_four_faults(seed):
     generator = random.Random(seed)
     for _ in range(300):
-        world = wander(World(["a", "a", "a"], 2, 4, 3), generator)
+        world = walk_randomly(World(["a", "a", "a"], 2, 4, 3), generator)
         if not world.moves():
             assert all(e.done or e.attempts >= 3 for e in world.entries)
 
@@ -169,7 +169,7 @@
 )
 def test_the_search_finds_each_missing_guard(monkeypatch, owner, name, defect):
     monkeypatch.setattr(owner, name, defect)
-    with pytest.raises(BrokenPromiseError):
+    with pytest.raises(GuaranteeViolationError):
         search()
 
 
@@ -178,7 +178,7 @@
     for seed in range(WALKS):
         generator = random.Random(seed)
         world = World(bodies[seed % 3], 1 + seed % 2, 1 + seed % 4, 3)
-        wander(world, generator)
+        walk_randomly(world, generator)
     explore(World(["a", "a"], 1, 1))
 
 
--- a/tests/unit/test_ratelimits.py
+++ b/tests/unit/test_ratelimits.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings, strategies
 from support.clock import run_paused
 from support.dialect import MemoryRowStore, PlainAdapter
-from support.fleet import SERVICE, FleetPlay, FleetShape
+from support.fleet import SERVICE, FleetShape, FleetSimulation
 from support.gateways import build_settings
 from support.routing import build_endpoint
 
@@ -166,7 +166,7 @@
     assert run_paused(collect()) == [[], ["e-1"], [], ["e-1"]]
 
 
-class LimitedFleet(FleetPlay):
+class LimitedFleet(FleetSimulation):
     """Fleet in which one engine announces a rate limit and records its arrivals."""
 
     limited_engine = "engine-0"
@@ -250,7 +250,9 @@
 
 def test_when_all_endpoints_are_limited_callers_are_refused_at_once():
     async def run():
-        fleet = FleetPlay(FleetShape(gateways=1, engines=3, rate=40.0, seconds=6.0))
+        fleet = FleetSimulation(
+            FleetShape(gateways=1, engines=3, rate=40.0, seconds=6.0)
+        )
         for gateway in fleet.gateways:
             for presence in list(gateway.presences.by_name.values()):
                 gateway.record_rate(presence.endpoint, Limited(0.5))
--- a/tests/unit/test_returns.py
+++ b/tests/unit/test_returns.py
@@ -2,7 +2,7 @@
 
 import random
 
-from support.overload import OverloadPlay, count
+from support.overload import OverloadSimulation, count
 
 from fescuedrum.decisions.retries import SharedRetryBudget
 from fescuedrum.decisions.returns import PatienceTracker, retry_delay
@@ -69,7 +69,7 @@
         return usual * (factor if int(now) in burst else 1)
 
     for seed in range(5):
-        outcomes = OverloadPlay(rate, seconds=25.0, seed=seed).run()
+        outcomes = OverloadSimulation(rate, seconds=25.0, seed=seed).run()
         before = count(outcomes, range(2, 10))
         during = count(outcomes, burst)
         after = count(outcomes, range(19, 24))
--- a/tests/unit/test_switching.py
+++ b/tests/unit/test_switching.py
@@ -196,7 +196,7 @@
                 await asyncio.sleep(0.08)
                 return OrderResult.UNANSWERED
             if address[1] == 2 and isinstance(order, ArmMap) and not late:
-                task = group.take_late(2.5, 2, epoch, order)
+                task = group.carry_out_late(2.5, 2, epoch, order)
                 late.append(asyncio.create_task(task))
                 return OrderResult.UNANSWERED
             return await send_order(address, epoch, order)
