--- a/tests/support/__init__.py
+++ b/tests/support/__init__.py
@@ -1,1 +1,1 @@
-"""Share builders, the paused clock and checks among tests."""
+"""Provide builders, simulations and checks that several tests use."""
--- a/tests/support/browser.py
+++ b/tests/support/browser.py
@@ -1,4 +1,4 @@
-"""Fill in and send forms as a browser without scripts does."""
+"""Fill in and submit forms as a browser without scripts does."""
 
 from html.parser import HTMLParser
 
@@ -7,7 +7,7 @@
 
 
 class Form:
-    """Hold a form's address, its fields as shown, and its buttons."""
+    """Hold a form's action, its fields with their values, and its buttons."""
 
     def __init__(self, action):
         self.action = action
@@ -55,6 +55,7 @@
                 self.forms[-1].fields[self.area] = ""
 
     def add_input(self, attrs):
+        """Add a field to the form, and note whether it lacks a label."""
         kind = attrs.get("type", "text")
         if kind in ("text", "password") and attrs.get("id") not in self.labels:
             self.unlabelled.append(attrs.get("name"))
@@ -78,7 +79,7 @@
 
 
 class Browser:
-    """Keep cookies and the page that is open."""
+    """Hold the cookies and the current page."""
 
     def __init__(self, url):
         self.url = url
@@ -95,24 +96,26 @@
         await self.session.close()
 
     def switch_entry(self, url):
-        """Go on at another entry behind the same balancer, with the same cookies."""
+        """Use another entry with the same cookies, as behind one balancer."""
         jar = self.session.cookie_jar
         cookies = jar.filter_cookies(URL(self.url + "/console/"))
         self.url = url
         jar.update_cookies(cookies, URL(url + "/console/"))
 
     async def open(self, path):
-        return await self.take(self.session.get(self.url + path))
+        """Load a page; return its text."""
+        return await self.load_page(self.session.get(self.url + path))
 
     async def send(self, action, *, button=None, **changes):
-        """Send the open page's form for an address, with fields changed."""
+        """Submit the form of this action with changes; return the next page's text."""
         form = next(each for each in self.page.forms if each.action == action)
         fields = form.fields | changes
         if button:
             fields["go"] = button
-        return await self.take(self.session.post(self.url + action, data=fields))
+        return await self.load_page(self.session.post(self.url + action, data=fields))
 
-    async def take(self, request):
+    async def load_page(self, request):
+        """Wait for a response and parse it as the current page; return its text."""
         async with request as response:
             self.status = response.status
             self.headers = response.headers
@@ -121,5 +124,6 @@
         return self.page.text
 
     async def sign_in(self, token):
+        """Sign in on the console with a token."""
         await self.open("/console/sign-in")
         return await self.send("/console/sign-in", token=token)
--- a/tests/support/builders.py
+++ b/tests/support/builders.py
@@ -1,4 +1,4 @@
-"""Build test data with sensible defaults."""
+"""Build test data with default values."""
 
 from fescuedrum.conf import document as documents
 from fescuedrum.decisions.membership import HeartbeatInfo
@@ -30,7 +30,7 @@
 
 
 def build_full_document(**changes):
-    """Build a document that uses every part."""
+    """Build a document in which every part is set."""
     endpoints = [documents.Endpoint(f"e-{n}", "advice", "zone-1") for n in range(2)]
     rule = documents.SharingRule("floor", "advice", ["club"], minimum_share=0.2)
     group = documents.RankGroup("g", "advice", 2, 8, 4, 5, ["e-0", "e-1"])
--- a/tests/support/callers.py
+++ b/tests/support/callers.py
@@ -1,4 +1,4 @@
-"""Serve the callers' interface on a real socket with endpoints that need no agent."""
+"""Serve callers on a real socket with scripted responses in place of agents."""
 
 import asyncio
 import contextlib
@@ -18,7 +18,7 @@
 
 
 class Script:
-    """Say what the endpoints answer, and keep the calls that reached them."""
+    """Hold the response of all endpoints, and record the calls that reach them."""
 
     def __init__(self, status=200, headers=(), chunks=(b"{}",), error=None):
         self.calls = []
@@ -28,11 +28,13 @@
         self.error = error
 
     def dispatcher(self, _, call, reply):
+        """Record a call; take the place of the Dispatcher class."""
         self.calls.append(call)
         self.reply = reply
         return self
 
     async def run(self):
+        """Send the response, and raise the error if there is one."""
         await self.reply.start(self.status, self.headers)
         for chunk in self.chunks:
             await self.reply.write(chunk)
@@ -42,6 +44,7 @@
 
 
 def build_entry(**settings):
+    """Return an entry whose document has an engine service and a plain service."""
     values = {"name": "entry-1", "zone": "zone-1", "host": "127.0.0.1", "port": 1}
     values |= {"platform_url": "http://x"} | settings
     entry = Entry(EntrySettings(**values), 1)
@@ -55,7 +58,7 @@
 
 @contextlib.asynccontextmanager
 async def serving(monkeypatch, script=None, entry=None):
-    """Give the port of a callers' listener whose requests end in the script."""
+    """Serve callers with the responses of the script; yield the port."""
     script = script or Script()
     entry = entry or build_entry()
     monkeypatch.setattr(handler, "Dispatcher", script.dispatcher)
@@ -70,7 +73,7 @@
 
 
 async def send_raw(port, data):
-    """Send bytes and return all that comes until the connection ends."""
+    """Send bytes; return all that is received until the connection is closed."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(data)
     try:
--- a/tests/support/clock.py
+++ b/tests/support/clock.py
@@ -1,11 +1,11 @@
-"""Run coroutines on a loop whose clock stands still and jumps to the next timer."""
+"""Run coroutines on an event loop with a simulated clock."""
 
 import asyncio
 import selectors
 
 
 class JumpingSelector(selectors.DefaultSelector):
-    """Advance the loop's clock in place of waiting when no socket is ready."""
+    """Advance the clock to the next timer instead of waiting for it."""
 
     def __init__(self):
         super().__init__()
@@ -19,7 +19,7 @@
 
 
 class PausedLoop(asyncio.SelectorEventLoop):
-    """Read the time from the selector; only timers move it."""
+    """Take the time from the selector's simulated clock."""
 
     def __init__(self):
         self.clock = JumpingSelector()
@@ -30,6 +30,6 @@
 
 
 def run_paused(coroutine):
-    """Run a coroutine to its end on a paused clock and return its result."""
+    """Run a coroutine on the simulated clock and return its result."""
     with asyncio.Runner(loop_factory=PausedLoop) as runner:
         return runner.run(coroutine)
--- a/tests/support/dialect.py
+++ b/tests/support/dialect.py
@@ -1,4 +1,4 @@
-"""Speak a plain dialect of the gateway's adapter, on a store held in memory."""
+"""Implement the gateway's adapter and its store in memory for tests."""
 
 import asyncio
 import contextlib
@@ -17,7 +17,7 @@
 
 
 class MemoryRowStore:
-    """Implement RowStore; rows are Python objects kept beside their bytes."""
+    """Implement RowStore; the rows' bytes are keys of Python objects."""
 
     def __init__(self):
         self.tables = {}
@@ -28,7 +28,7 @@
         self.objects = {}
 
     def put(self, table, key, value):
-        """Write a row of any object."""
+        """Write a row whose value is any object."""
         self.version += 1
         raw = f"{table}/{key}/{self.version}".encode()
         self.objects[raw] = value
@@ -42,10 +42,12 @@
         self.wake()
 
     def wake(self):
+        """Wake all calls that wait for changes."""
         self.changed.set()
         self.changed = asyncio.Event()
 
     def check(self):
+        """Raise StoreUnavailable while the store is away."""
         if self.away:
             raise StoreUnavailable("The store is away.")
 
@@ -70,6 +72,7 @@
         return Changes(rows, self.version)
 
     def changes(self, table, after):
+        """Return the rows of a table that changed after a version, in order."""
         rows = self.tables.get(table, {}).values()
         return sorted(
             (row for row in rows if row.version > after), key=lambda row: row.version
@@ -82,7 +85,7 @@
 
 
 class PlainAdapter:
-    """Implement the gateway's Adapter with names of its own."""
+    """Implement the gateway's Adapter with header names of its own."""
 
     operators_table = "operators"
     endpoints_table = "endpoints"
--- a/tests/support/ends.py
+++ b/tests/support/ends.py
@@ -1,7 +1,7 @@
-"""Run an entry or an agent to its true end, in a thread with a loop of its own.
+"""Run an entry or an agent to its end in a thread with an event loop of its own.
 
-The loop closes when run() returns, as it does when a process ends: what a transport
-still holds is lost then.
+The loop closes when run() returns, as at the end of a process: data that a transport
+still buffers is lost then.
 """
 
 import asyncio
@@ -22,16 +22,16 @@
 HOST = "127.0.0.1"
 READY_SECONDS = 10.0
 POLL_SECONDS = 0.01
-# The kernel doubles it and has a least; an answer of 40 kB does not fit.
-NARROW_BYTES = 4096
+# The kernel doubles this value and has a minimum; a response of 40 kB does not fit.
+SOCKET_BUFFER_BYTES = 4096
 READ_BYTES = 64 * 1024
-# Longer than the longest stop of a test; what lasts longer is cancelled.
-PATIENCE_SECONDS = 7.0
+# Longer than the longest stop of a test; a process that takes longer is cancelled.
+END_TIMEOUT_SECONDS = 7.0
 KEY = build_key()
 
 
 class RunningProcess:
-    """Hold a process's main object while it runs."""
+    """Run the main object of a process in a thread."""
 
     def __init__(self, monkeypatch, module, build):
         monkeypatch.setattr(module, "stop_event", lambda: self.stop)
@@ -40,12 +40,12 @@
         self.process = None
         self.loop = None
         self.stop = None
-        self.told_at = None
+        self.stop_requested_at = None
         self.main_task = None
         self.task = asyncio.create_task(asyncio.to_thread(self.serve))
 
     def serve(self):
-        """Run the loop to its end, and close what it leaves, as the kernel would."""
+        """Run the loop to its end and shut open sockets down, as the kernel would."""
         transports = asyncio.run(self.main())
         for transport in transports:
             sock = transport.get_extra_info("socket")
@@ -54,7 +54,7 @@
                     sock.shutdown(socket.SHUT_RDWR)
 
     async def main(self):
-        """Run the process; return the transports that it leaves open."""
+        """Run the process; return the transports that it did not close."""
         self.loop = asyncio.get_running_loop()
         self.main_task = asyncio.current_task()
         self.stop = asyncio.Event()
@@ -67,7 +67,7 @@
         return self.process.settings.port
 
     async def until(self, condition):
-        """Wait until condition(process) holds; fail when it never does."""
+        """Wait until condition(process) holds; raise TimeoutError if it does not."""
         async with asyncio.timeout(READY_SECONDS):
             while self.process is None or not condition(self.process):
                 if self.task.done():
@@ -75,27 +75,27 @@
                 await asyncio.sleep(POLL_SECONDS)
 
     def request_stop(self):
-        """Tell the process to stop, as a signal would."""
-        self.told_at = asyncio.get_running_loop().time()
+        """Request the process to stop, as a signal would."""
+        self.stop_requested_at = asyncio.get_running_loop().time()
         self.loop.call_soon_threadsafe(self.stop.set)
 
     async def end(self):
-        """Wait for the end; return the seconds since the process was told to stop."""
-        async with asyncio.timeout(PATIENCE_SECONDS):
+        """Wait for the end; return the seconds since the stop was requested."""
+        async with asyncio.timeout(END_TIMEOUT_SECONDS):
             await asyncio.shield(self.task)
-        return asyncio.get_running_loop().time() - self.told_at
+        return asyncio.get_running_loop().time() - self.stop_requested_at
 
     async def end_by_force(self):
-        """End a process that a failed test has left, or that does not stop."""
+        """Stop a process that a failed test left running; cancel it if that fails."""
         if not self.task.done():
             self.request_stop()
-            await asyncio.wait([self.task], timeout=PATIENCE_SECONDS)
+            await asyncio.wait([self.task], timeout=END_TIMEOUT_SECONDS)
         if not self.task.done():
             self.loop.call_soon_threadsafe(self.main_task.cancel)
         await asyncio.gather(self.task, return_exceptions=True)
 
-    async def listens(self):
-        """Wait until the process takes connections."""
+    async def wait_until_listening(self):
+        """Wait until the process accepts connections."""
         await self.until(lambda _: True)
         async with asyncio.timeout(READY_SECONDS):
             while True:
@@ -107,30 +107,32 @@
 
 @contextlib.asynccontextmanager
 async def running(monkeypatch, module, build):
+    """Run a process until the block ends; yield its RunningProcess."""
     process = RunningProcess(monkeypatch, module, build)
     try:
-        await process.listens()
+        await process.wait_until_listening()
         yield process
     finally:
         await process.end_by_force()
 
 
 class Answers:
-    """Stand for the endpoints of an entry: the path says what is answered.
+    """Respond in place of the endpoints of an entry, and record the paths.
 
-    /wait/S answers after S seconds; /bytes/N answers N bytes over a narrow link.
+    /wait/S is answered after S seconds; /bytes/N with N bytes and a small send buffer.
     """
 
     def __init__(self):
         self.paths = []
 
     def dispatcher(self, _, call, reply):
+        """Record a call; take the place of the Dispatcher class."""
         self.paths.append(call.path)
         return Run(call, reply)
 
 
 class Run:
-    """Answer one call."""
+    """Respond to one call as its path says."""
 
     def __init__(self, call, reply):
         self.call = call
@@ -150,7 +152,7 @@
 
 @contextlib.asynccontextmanager
 async def running_entry(monkeypatch, **settings):
-    """Run an entry until the block ends; yield it and what its endpoints saw."""
+    """Run an entry until the block ends; yield its process and its Answers."""
     answers = Answers()
     monkeypatch.setattr(handler, "Dispatcher", answers.dispatcher)
     (port,) = free_ports(1)
@@ -162,7 +164,7 @@
 
 @contextlib.asynccontextmanager
 async def running_agent(monkeypatch, endpoint_url, **settings):
-    """Run an agent beside an endpoint until the block ends."""
+    """Run an agent of an endpoint until the block ends; yield its RunningProcess."""
     (port,) = free_ports(1)
     values = {
         "name": "agent-1",
@@ -189,16 +191,16 @@
 
 
 def shrink_send_buffer(transport):
-    """Make the kernel hold little of what is sent, as for a slow reader far away."""
+    """Make the kernel buffer little sent data, as with a slow and distant reader."""
     sock = transport.get_extra_info("socket")
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, NARROW_BYTES)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SOCKET_BUFFER_BYTES)
 
 
 async def open_socket(port):
-    """Return a socket that is connected and of which nothing is read by itself."""
+    """Return a connected socket from which only explicit calls read."""
     sock = socket.socket()
     sock.setblocking(False)
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, NARROW_BYTES)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SOCKET_BUFFER_BYTES)
     try:
         await asyncio.get_running_loop().sock_connect(sock, (HOST, port))
     except BaseException:
@@ -208,7 +210,7 @@
 
 
 class Caller:
-    """Own one connection to an entry."""
+    """Hold one connection to an entry."""
 
     def __init__(self, sock):
         self.sock = sock
@@ -217,9 +219,11 @@
 
     @classmethod
     async def connect(cls, running):
+        """Return a caller that is connected to a running process."""
         return cls(await open_socket(running.port))
 
     async def send(self, path, *headers, body=b""):
+        """Send a POST request."""
         head = [f"POST {path} HTTP/1.1", "Host: h", AUTHORISED, *headers]
         head.append(f"Content-Length: {len(body)}")
         await self.send_bytes(("\r\n".join(head) + "\r\n\r\n").encode() + body)
@@ -227,15 +231,15 @@
     async def send_bytes(self, data):
         await self.loop.sock_sendall(self.sock, data)
 
-    async def more(self):
-        """Read what is there; return False at the end of the connection."""
+    async def receive_more(self):
+        """Receive some data; return False at the end of the connection."""
         data = await self.loop.sock_recv(self.sock, READ_BYTES)
         self.received += data
         return bool(data)
 
     async def read(self):
-        """Return (status, head in lower case, body, whether all of it came)."""
-        while b"\r\n\r\n" not in self.received and await self.more():
+        """Return (status, head in lower case, body, whether the body is complete)."""
+        while b"\r\n\r\n" not in self.received and await self.receive_more():
             pass
         head, _, body = self.received.partition(b"\r\n\r\n")
         self.received = body
@@ -243,20 +247,21 @@
         if not text:
             return 0, "", b"", False
         length = int(text.partition("content-length: ")[2].split()[0])
-        while len(self.received) < length and await self.more():
+        while len(self.received) < length and await self.receive_more():
             pass
         body, self.received = self.received[:length], self.received[length:]
         return int(text.split()[1]), text, body, len(body) == length
 
     async def ask(self, path, *headers, body=b""):
+        """Send a request to the bookings service; return what read() returns."""
         await self.send(f"/services/bookings{path}", *headers, body=body)
         return await self.read()
 
     async def closes_within(self, seconds):
-        """Tell whether the entry closes the connection within so many seconds."""
+        """Return whether the entry closes the connection within the given seconds."""
         try:
             async with asyncio.timeout(seconds):
-                return not await self.more()
+                return not await self.receive_more()
         except TimeoutError:
             return False
         except ConnectionError:
@@ -267,15 +272,15 @@
 
 
 class TlsCaller(Caller):
-    """Own one connection with TLS, of which nothing is read by itself either."""
+    """Hold one TLS connection, from which also only explicit calls read."""
 
     def __init__(self, sock, context):
         super().__init__(sock)
         self.incoming, self.outgoing = ssl.MemoryBIO(), ssl.MemoryBIO()
         self.tls = context.wrap_bio(self.incoming, self.outgoing, server_hostname=HOST)
 
-    async def carry(self, step):
-        """Repeat a step until it has what it needs of the socket."""
+    async def run_tls_step(self, step):
+        """Repeat a TLS operation until it has received the data that it needs."""
         while True:
             try:
                 result = step()
@@ -290,14 +295,14 @@
             self.incoming.write(data)
 
     async def handshake(self):
-        await self.carry(lambda: self.tls.do_handshake() or True)
+        await self.run_tls_step(lambda: self.tls.do_handshake() or True)
 
     async def send_bytes(self, data):
-        await self.carry(lambda: self.tls.write(data))
+        await self.run_tls_step(lambda: self.tls.write(data))
 
-    async def more(self):
+    async def receive_more(self):
         try:
-            data = await self.carry(lambda: self.tls.read(READ_BYTES))
+            data = await self.run_tls_step(lambda: self.tls.read(READ_BYTES))
         except ssl.SSLZeroReturnError:
             return False
         self.received += data
--- a/tests/support/engines.py
+++ b/tests/support/engines.py
@@ -1,4 +1,4 @@
-"""Run stand-in endpoints that answer as a test tells them, byte for byte."""
+"""Run simulated endpoints whose tests define each byte of a response."""
 
 import asyncio
 import socket
@@ -9,8 +9,8 @@
 
 
 @dataclass(slots=True)
-class Seen:
-    """Hold one request as it reached an endpoint."""
+class ReceivedRequest:
+    """Hold one request as an endpoint received it."""
 
     method: str
     target: str
@@ -24,12 +24,12 @@
 
 @dataclass(slots=True)
 class StandInEndpoint:
-    """Listen on a port of the loopback; answer(seen) writes each answer."""
+    """Serve on a loopback port; answer(seen) writes the response to a request."""
 
     name: str
     answer: object
-    seen: list[Seen] = field(default_factory=list)
-    # Set when the connection of a request was closed by its sender.
+    seen: list[ReceivedRequest] = field(default_factory=list)
+    # Set when the sender of a request closed its connection before the response.
     left: asyncio.Event = field(default_factory=asyncio.Event)
     server: asyncio.Server | None = None
 
@@ -42,9 +42,11 @@
         return self.server.sockets[0].getsockname()[1]
 
     def listed(self, **changes):
+        """Return the endpoint as a listed endpoint with its port."""
         return build_endpoint(self.name, port=self.port, **changes)
 
     async def serve(self, reader, writer):
+        """Answer the one request of a connection, unless the sender closes it first."""
         try:
             seen = await read_request(reader, writer)
             self.seen.append(seen)
@@ -64,17 +66,18 @@
 
 
 async def read_request(reader, writer):
+    """Read one request and return it."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode()
     first, *lines = head.strip().split("\r\n")
     method, target, _ = first.split(" ")
     pairs = [line.split(":", 1) for line in lines]
     headers = {name.strip().lower(): value.strip() for name, value in pairs}
     body = await reader.readexactly(int(headers.get("content-length", 0)))
-    return Seen(method, target, headers, body, writer)
+    return ReceivedRequest(method, target, headers, body, writer)
 
 
 def head(seen, status=200, **headers):
-    """Return the head of an answer to a request."""
+    """Return the head of a response to a request."""
     headers = {"Request_Id": seen["Request-Id"]} | headers
     lines = [f"HTTP/1.1 {status} X"]
     lines += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
@@ -82,7 +85,7 @@
 
 
 def whole(body=b"done", status=200, **headers):
-    """Return what answers with a whole, signed body."""
+    """Return an answer function that sends a complete, signed response."""
 
     async def answer(seen):
         told = {"Signed": "yes", "Content_Length": len(body)} | headers
@@ -93,17 +96,17 @@
 
 
 def refusing(status=503):
-    """Return what declares that it did not run the request."""
+    """Return an answer function that declares that the request was not run."""
     return whole(b"", status, Not_Run="1")
 
 
 async def close_unanswered(seen):
-    """Close the connection without an answer."""
+    """Close the connection without a response."""
     seen.writer.close()
 
 
 def reset(seen):
-    """Reset the connection of a request at once."""
+    """Reset the connection of a request."""
     linger = struct.pack("ii", 1, 0)
     connection = seen.writer.get_extra_info("socket")
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
@@ -111,19 +114,22 @@
 
 
 async def never_answer(seen):
+    """Send no response for longer than any test waits."""
     await asyncio.sleep(60)
 
 
 def chunk(data):
+    """Return data as one chunk of a chunked response."""
     return f"{len(data):x}\r\n".encode() + data + b"\r\n"
 
 
 def event(number):
+    """Return one server-sent event."""
     return f"id: {number}\ndata: part {number}\n\n".encode()
 
 
 def streaming(first, last, *, ends=True, pause=0.0, tail=b""):
-    """Return what streams events by number, and then ends or breaks off."""
+    """Return an answer function that streams events and may truncate the stream."""
 
     async def answer(seen):
         begin = int(seen["Last-Event"] or 0) + 1 if seen["Last-Event"] else first
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -1,7 +1,7 @@
-"""Play callers before many gateways that share many engines, on the paused clock.
+"""Simulate callers, many gateways and the engines that they share.
 
-Gateways are real as far as they place requests: their directory, and what they tell
-each other over a network in memory. Engines and callers are modelled.
+The gateways use the real endpoint directory and the real exchange between peers over
+a network in memory. Engines and callers are simulated, on a simulated clock.
 """
 
 import asyncio
@@ -22,45 +22,48 @@
 from support.routing import build_endpoint, build_engine_service, build_routing_document
 
 SERVICE = "advice"
-WAY_SECONDS = 0.001
-# Time in which an engine reads a prompt, and in which callers want the first event.
+NETWORK_DELAY_SECONDS = 0.001
+# Time of an engine to read a prompt, and the callers' deadline for the first event.
 PROMPT_SECONDS = 0.1
 FIRST_EVENT_SECONDS = 0.5
 DATAGRAM_HEADERS_BYTES = 28
-# Time until gateways have heard each other; nothing of that time is counted.
+# Time until all gateways have met; nothing is counted before.
 WARM_UP_SECONDS = 3.0
 
 
 class Network:
-    """Carry datagrams between the gateways of a play."""
+    """Deliver datagrams between the simulated gateways."""
 
     def __init__(self):
         self.loop = asyncio.get_running_loop()
         self.peers = {}
-        # Sets of hosts that reach nobody outside their own.
+        # Sets of hosts; hosts in a set reach only hosts in the same set.
         self.halves = ()
         self.sent_bytes = collections.Counter()
 
     def join(self, peers):
+        """Connect a gateway's peers to the network."""
         host = peers.settings.host
         self.peers[host] = peers
         peers.transport = Link(self, host)
 
     def cut(self, halves):
+        """Partition the network."""
         self.halves = halves
 
     def carry(self, payload, sender, receiver):
+        """Count a datagram, and deliver it unless the network is partitioned."""
         if self.loop.time() >= WARM_UP_SECONDS:
             self.sent_bytes[sender] += len(payload) + DATAGRAM_HEADERS_BYTES
         peers = self.peers.get(receiver)
         is_cut = any((sender in half) != (receiver in half) for half in self.halves)
         if peers is not None and not is_cut:
             arrive = peers.datagram_received
-            self.loop.call_later(WAY_SECONDS, arrive, payload, (sender, 1))
+            self.loop.call_later(NETWORK_DELAY_SECONDS, arrive, payload, (sender, 1))
 
 
 class Link:
-    """Stand for one gateway's socket."""
+    """Simulate the datagram transport of one gateway."""
 
     def __init__(self, network, host):
         self.network = network
@@ -74,14 +77,15 @@
 
 
 @dataclass(slots=True)
-class PlayedEngine:
-    """Run up to slots streams at a time; the others wait in order."""
+class SimulatedEngine:
+    """Run up to slots streams at a time; further ones wait in order."""
 
     slots: int
     running: int = 0
     waiting: collections.deque = field(default_factory=collections.deque)
 
     async def enter(self):
+        """Wait for a free slot and occupy it."""
         if self.running >= self.slots:
             turn = asyncio.get_running_loop().create_future()
             self.waiting.append(turn)
@@ -90,6 +94,7 @@
             self.running += 1
 
     def leave(self):
+        """Release a slot."""
         if self.waiting:
             self.waiting.popleft().set_result(None)
         else:
@@ -98,10 +103,10 @@
 
 @dataclass(slots=True)
 class FleetShape:
-    """Size a play; rate is requests a second of all callers."""
+    """Hold the parameters of a simulation; rate is requests per second in total."""
 
     zones: int = 5
-    # Zones that have engines; 0 for all.
+    # Number of zones that have engines; 0 means all.
     engine_zones: int = 0
     gateways: int = 98
     engines: int = 129
@@ -115,7 +120,7 @@
 
 
 def play(**shape):
-    """Return a play of a fleet that has come to its end."""
+    """Run a simulation of a fleet to its end and return it."""
 
     async def run():
         return await FleetSimulation(FleetShape(**shape)).run()
@@ -124,7 +129,7 @@
 
 
 class FleetSimulation:
-    """Send callers through gateways; outcomes counts on time, late and refused."""
+    """Simulate a fleet; outcomes counts requests on time, late and refused."""
 
     def __init__(self, shape):
         self.shape = shape
@@ -147,12 +152,13 @@
 
     @property
     def bytes_per_second(self):
-        """Return what a gateway sends to others in the mean."""
+        """Return the mean rate at which a gateway sends datagrams to others."""
         counted = self.loop.time() - WARM_UP_SECONDS
         sent = sum(self.network.sent_bytes.values())
         return sent / len(self.gateways) / counted
 
     def share(self, outcome):
+        """Return the share of the counted requests with an outcome."""
         return self.outcomes[outcome] / self.outcomes.total()
 
     def zone_of(self, number):
@@ -162,6 +168,7 @@
         return f"zone-{number % (self.shape.engine_zones or self.shape.zones)}"
 
     def build_gateway(self, number):
+        """Return the directory of a new gateway that is connected to the network."""
         host = f"10.0.{number // 250}.{number % 250 + 1}"
         settings = build_settings(
             f"gateway-{number}",
@@ -173,9 +180,9 @@
         )
         peers = Peers(settings, number + 1)
         pass_timers = collections.defaultdict(PassTimer)
-        chance = random.Random(self.random.random())
+        rng = random.Random(self.random.random())
         directory = EndpointDirectory(
-            settings, None, self.configuration, peers, pass_timers, chance
+            settings, None, self.configuration, peers, pass_timers, rng
         )
         directory.announce_change = peers.announce_change
         peers.build_beacon = lambda: Beacon(
@@ -189,18 +196,19 @@
         return directory
 
     def add_engine(self, number):
+        """Add an engine and list it at all gateways."""
         endpoint = build_endpoint(
             f"engine-{number}",
             service=SERVICE,
             zone=self.engine_zone_of(number),
             slots=self.shape.slots,
         )
-        self.engines[endpoint.name] = PlayedEngine(self.shape.slots)
+        self.engines[endpoint.name] = SimulatedEngine(self.shape.slots)
         for gateway in self.gateways:
             gateway.presences.listed(endpoint)
 
     async def run(self):
-        """Play to the end; return the play itself."""
+        """Run the simulation to its end; return self."""
         hosts = [gateway.settings.host for gateway in self.gateways]
         for gateway, host in itertools.product(self.gateways, hosts):
             gateway.peers.add_host(host)
@@ -213,10 +221,10 @@
 
     def start_beacons(self, gateway):
         host = gateway.settings.host
-        self.beacons[host] = asyncio.create_task(self.tell_later(gateway))
+        self.beacons[host] = asyncio.create_task(self.run_peers(gateway))
 
     def replace_gateway(self, number):
-        """Put a gateway in the place of one that is gone at once."""
+        """Replace a gateway that crashed by a new one."""
         old = self.gateways[number]
         old.peers.close()
         self.beacons.pop(old.settings.host).cancel()
@@ -225,17 +233,19 @@
             new.presences.listed(presence.endpoint)
         self.gateways[number] = new
         self.clients = [new if each is old else each for each in self.clients]
-        # It knows one seed, as the settings name few.
+        # The new gateway knows one seed host, as settings name only a few.
         new.peers.add_host(self.gateways[0].settings.host)
         self.start_beacons(new)
 
-    async def tell_later(self, gateway):
+    async def run_peers(self, gateway):
+        """Run the exchange of a gateway with its peers after a random delay."""
         # Gateways start within 0.3 s of each other.
         await asyncio.sleep(self.random.uniform(0.0, 0.3))
         await gateway.peers.run()
 
     async def send_callers(self):
-        # A balancer sends each client to the gateway that a hash names.
+        """Send requests at the rate until the simulation ends, and wait for them."""
+        # The balancer assigns each client to a gateway by a hash.
         self.clients = self.random.choices(self.gateways, k=self.shape.clients)
         async with asyncio.TaskGroup() as group:
             while self.loop.time() < self.shape.seconds:
@@ -243,6 +253,7 @@
                 await asyncio.sleep(self.random.expovariate(self.shape.rate))
 
     async def call(self, gateway):
+        """Send one request through a gateway and count its outcome."""
         began = self.loop.time()
         placed = gateway.choose_endpoint(SERVICE, set(), False)
         if not isinstance(placed, Chosen):
@@ -250,7 +261,7 @@
             return
         reservation = gateway.reserve(placed.endpoint, 700)
         engine = self.engines[placed.endpoint.name]
-        await asyncio.sleep(WAY_SECONDS)
+        await asyncio.sleep(NETWORK_DELAY_SECONDS)
         self.answered(gateway, placed.endpoint)
         await engine.enter()
         await asyncio.sleep(PROMPT_SECONDS)
@@ -264,8 +275,9 @@
         reservation.release()
 
     def answered(self, gateway, endpoint):
-        """Let an endpoint tell a gateway of itself in the head of its answer."""
+        """Do nothing; subclasses report an endpoint's response head to the gateway."""
 
     def count(self, began, outcome):
+        """Count an outcome unless the request began during the warm-up."""
         if began >= WARM_UP_SECONDS:
             self.outcomes[outcome] += 1
--- a/tests/support/gateway_process.py
+++ b/tests/support/gateway_process.py
@@ -1,4 +1,4 @@
-"""Run a gateway in a process of its own: its end ends its connections, too."""
+"""Run a gateway in a process of its own, whose end closes its connections, too."""
 
 import asyncio
 import contextlib
@@ -18,7 +18,7 @@
 
 @contextlib.asynccontextmanager
 async def gateway_process(endpoint_port, stop_seconds):
-    """Run a gateway before one endpoint; yield (process, its callers' port)."""
+    """Run a gateway with one endpoint; yield (process, port for callers)."""
     ports = free_ports(3)
     arguments = [*ports, endpoint_port, stop_seconds]
     process = await asyncio.create_subprocess_exec(
@@ -37,7 +37,7 @@
 
 
 async def serve(ports, endpoint_port, stop_seconds):
-    """Serve until SIGTERM; print a line once callers are served."""
+    """Run a gateway until SIGTERM; print a line once it is ready."""
     store = MemoryRowStore()
     store.put("operators", "document", build_routing_document())
     store.put("endpoints", "e-1", build_endpoint("e-1", port=endpoint_port))
--- a/tests/support/gateways.py
+++ b/tests/support/gateways.py
@@ -1,4 +1,4 @@
-"""Run gateways in a test's own process, on the loopback."""
+"""Run gateways inside the test process on loopback addresses."""
 
 import asyncio
 import contextlib
@@ -15,7 +15,7 @@
 
 
 def free_ports(count):
-    """Return ports that are free for TCP and UDP at the moment."""
+    """Return ports that are free at the moment."""
     with contextlib.ExitStack() as stack:
         sockets = [stack.enter_context(socket.socket()) for _ in range(count)]
         for each in sockets:
@@ -24,6 +24,7 @@
 
 
 def build_settings(name, host, ports, **changes):
+    """Return settings with (callers, ready, peers) ports."""
     callers, ready, peers = ports
     values = {
         "name": name,
@@ -39,7 +40,7 @@
 
 
 class RunningGateway:
-    """Hold one gateway and what a test needs of it."""
+    """Run one gateway as a task."""
 
     def __init__(self, gateway):
         self.gateway = gateway
@@ -55,7 +56,7 @@
         return int(self.gateway.settings.callers_address.rpartition(":")[2])
 
     async def until(self, condition, seconds=READY_SECONDS):
-        """Wait until condition(gateway) holds; fail when it never does."""
+        """Wait until condition(gateway) holds; raise TimeoutError if it does not."""
         async with asyncio.timeout(seconds):
             while not condition(self.gateway):
                 if self.task.done():
@@ -63,6 +64,7 @@
                 await asyncio.sleep(0.01)
 
     async def end(self):
+        """Stop the gateway and wait for its end."""
         self.stop.set()
         await self.task
 
@@ -71,7 +73,7 @@
 async def running_gateway(
     store, *, host="127.0.0.1", ports=None, ready=True, **changes
 ):
-    """Run a gateway on a store until the block ends."""
+    """Run a gateway with a store until the block ends; yield a RunningGateway."""
     settings = build_settings(
         f"gateway-{host}", host, ports or free_ports(3), **changes
     )
@@ -88,7 +90,7 @@
 
 @contextlib.asynccontextmanager
 async def site(*endpoints, document=None, **changes):
-    """Run endpoints and one gateway before them; yield (gateway, session)."""
+    """Run endpoints and one gateway; yield (RunningGateway, client session)."""
     store = MemoryRowStore()
     store.put("operators", "document", document or build_routing_document())
     for endpoint in endpoints:
@@ -104,6 +106,7 @@
 
 
 def caller_headers(**changes):
+    """Return the headers of a caller's request; underscores become hyphens."""
     values = {
         "Host": "club.example",
         "Request-Id": "r-1",
--- a/tests/support/groups.py
+++ b/tests/support/groups.py
@@ -1,4 +1,4 @@
-"""Stand in for a group of engines that advance in lock-step, with faulty orders."""
+"""Simulate a group of engines that advance in lock-step and may lose orders."""
 
 import asyncio
 import random
@@ -18,8 +18,8 @@
 
 PASS_SECONDS = 0.05
 REPORT_LAG_SECONDS = 0.2
-# A late order is carried out up to so many seconds after it was given.
-LATEST_SECONDS = (0.0, 6.0)
+# Range of the delay of an order that is carried out late.
+LATE_ORDER_DELAY_SECONDS = (0.0, 6.0)
 
 
 @dataclass(slots=True)
@@ -37,7 +37,7 @@
 class StandInGroup:
     """Implement Engines for the ranks of one group; an address is (host, rank).
 
-    Each pass that begins with two maps is noted in mixed_passes.
+    mixed_passes lists the passes that began with different maps at the ranks.
     """
 
     def __init__(
@@ -58,15 +58,15 @@
         self.pass_seconds = pass_seconds
         self.step = 0
         self.epoch = 1
-        # Shares of the orders that are carried out late, or never; neither is answered.
+        # Shares of orders that are carried out late or never; neither gets a response.
         self.late = late
         self.lost = lost
-        # Most experts of a layer that a change may bring a rank; None for any number.
+        # Most new experts of a rank in a layer of an order; None for no limit.
         self.spare = spare
         self.mixed_passes = []
         self.passes_held = 0
         self.history = []
-        # Counts of each rank; tests let them grow.
+        # Expert counts of each rank; tests increase them.
         self.counts = [[0] for _ in self.ranks]
         self.tasks = []
 
@@ -85,6 +85,7 @@
             self.begin_pass()
 
     def begin_pass(self):
+        """Begin the next pass, and apply the maps that are armed for it."""
         self.step += 1
         for number, rank in enumerate(self.ranks):
             if rank.armed is not None and rank.armed.step == self.step:
@@ -95,16 +96,18 @@
             self.mixed_passes.append(self.step)
 
     def restart(self):
-        """Begin a new epoch: nothing of before holds."""
+        """Begin a new epoch with ranks that have no state."""
         self.epoch += 1
         self.ranks = [StandInRank() for _ in self.ranks]
 
     # Engines
 
     def snapshot(self):
+        """Return the current report of each rank."""
         return [self.report(number) for number in range(len(self.ranks))]
 
     def report(self, number):
+        """Return the current report of a rank."""
         rank = self.ranks[number]
         return RankReport(
             group="g",
@@ -120,7 +123,7 @@
         )
 
     async def read_report(self, address):
-        """Return a report as it was some passes ago."""
+        """Return the report of a rank of REPORT_LAG_SECONDS ago."""
         now = asyncio.get_running_loop().time()
         past = [seen for at, seen in self.history if at <= now - REPORT_LAG_SECONDS]
         return (past[-1] if past else self.snapshot())[address[1]]
@@ -133,10 +136,11 @@
         return RankMap(self.epoch, rank.map_version, rank.held)
 
     async def send_order(self, address, epoch, order):
+        """Carry out an order, or lose or delay it at random."""
         await asyncio.sleep(self.random.uniform(0.001, 0.004))
         fate = self.random.random()
         if fate < self.late:
-            delay = self.random.uniform(*LATEST_SECONDS)
+            delay = self.random.uniform(*LATE_ORDER_DELAY_SECONDS)
             self.tasks.append(
                 asyncio.create_task(
                     self.carry_out_late(delay, address[1], epoch, order)
@@ -150,23 +154,29 @@
         return self.take(address[1], epoch, order)
 
     async def carry_out_late(self, delay, number, epoch, order):
+        """Carry out an order after a delay."""
         await asyncio.sleep(delay)
         self.take(number, epoch, order)
 
     def take(self, number, epoch, order):
+        """Carry out an order, unless it is of another epoch."""
         if epoch != self.epoch:
             return OrderResult.REFUSED
         taken = self.apply(self.ranks[number], order)
         return OrderResult.ACCEPTED if taken else OrderResult.REFUSED
 
     def apply(self, rank, order):
+        """Carry out an order at a rank; return whether it is accepted."""
         match order:
             case PrepareMap(version) if rank.prepared == order:
                 return True
             case PrepareMap(version):
                 if rank.armed is not None or version <= rank.highest_version:
                     return False
-                if self.spare is not None and self.brings(rank, order) > self.spare:
+                if (
+                    self.spare is not None
+                    and self.most_new_experts(rank, order) > self.spare
+                ):
                     return False
                 rank.prepared = order
                 rank.highest_version = version
@@ -189,8 +199,8 @@
                     rank.held_step = None
         return True
 
-    def brings(self, rank, order):
-        """Return the most experts that a map brings a rank in any layer."""
+    def most_new_experts(self, rank, order):
+        """Return the largest number of new experts of a rank in any layer of a map."""
         number = self.ranks.index(rank)
         return max(
             len(set(layer[number]) - set(held))
--- a/tests/support/load.py
+++ b/tests/support/load.py
@@ -1,4 +1,4 @@
-"""Build work and gates, and serve them on simulated time, as callers would see it."""
+"""Build works and gates, and simulate an endpoint behind a gate."""
 
 import heapq
 import random
@@ -10,7 +10,7 @@
 
 
 class Payload:
-    """Note what the gate did with a work."""
+    """Record whether the gate started or refused a work."""
 
     __slots__ = ("on_start", "refused", "started")
 
@@ -43,9 +43,9 @@
 
 
 class Endpoint:
-    """Serve works through a gate in virtual time: the time of each is its cost.
+    """Serve works through a gate in simulated time; each takes time for its cost.
 
-    A plain heap of ends, not a model of an engine: delay does not grow with load.
+    This does not model an engine: the time of a work does not grow with the load.
     """
 
     def __init__(self, gate, seconds_per_cost=1.0):
@@ -58,6 +58,7 @@
         self.number = 0
 
     def offer(self, organisation, cost, *, patience=1e6, estimate=None, **changes):
+        """Offer a new work to the gate and return it."""
         work = build_work(
             organisation,
             estimate or cost,
@@ -73,11 +74,13 @@
         return work
 
     def begin(self, work, cost):
+        """Schedule the end of a work that the gate started."""
         self.number += 1
         seconds = cost * self.seconds_per_cost
         heapq.heappush(self.ends, (self.now + seconds, self.number, work, cost))
 
     def run_until(self, time):
+        """Finish the works that end by a time, and advance to it."""
         while self.ends and self.ends[0][0] <= time:
             self.now, _, work, cost = heapq.heappop(self.ends)
             self.finished.append((work, self.now, cost))
@@ -86,7 +89,7 @@
         self.now = time
 
     def waits(self, organisation):
-        """Return the seconds from arrival to answer of an organisation's works."""
+        """Return the sorted seconds from arrival to end of an organisation's works."""
         return sorted(
             end - work.arrived
             for work, end, _ in self.finished
@@ -94,11 +97,13 @@
         )
 
     def received(self, organisation):
+        """Return the cost of an organisation's finished works."""
         return sum(
             cost for work, _, cost in self.finished if work.organisation == organisation
         )
 
     def in_time(self):
+        """Return the cost of the works that finished by their deadline."""
         return sum(cost for work, end, cost in self.finished if end <= work.deadline)
 
 
--- a/tests/support/overload.py
+++ b/tests/support/overload.py
@@ -1,4 +1,4 @@
-"""Play callers before a group of engines, with the product's decisions in between."""
+"""Simulate callers and a group of engines with the product's admission decisions."""
 
 import collections
 import heapq
@@ -13,19 +13,19 @@
 SLOTS = 6
 EVENTS = 26
 PATIENCE_SECONDS = 8.0
-# First tries have between this part and all of the usual patience.
-LEAST_PATIENCE_PART = 0.9
+# The patience of a first attempt is between this share of PATIENCE_SECONDS and all.
+LEAST_PATIENCE_SHARE = 0.9
 FIRST_EVENT_SECONDS = 0.4
 PAUSE_SECONDS = 0.12
 PROMPT_SECONDS = 0.15
-# A pass of an idle group, and what a full one takes longer.
+# Time of a pass of an idle group, and the additional time of a fully loaded one.
 PASS_SECONDS = 0.045
 FULL_PASS_SECONDS = 0.025
 
 
 @dataclass(slots=True)
 class Caller:
-    """Hold one caller; times in seconds from the start of the play."""
+    """Hold one caller; times are seconds since the start of the simulation."""
 
     first_at: float
     gives_up_at: float
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True)
 class Engine:
-    """Hold the streams that run at one engine, and those that wait for a place."""
+    """Hold the number of running streams of an engine and its waiting callers."""
 
     running: int = 0
     waiting: collections.deque = field(default_factory=collections.deque)
@@ -45,9 +45,9 @@
 
 
 class OverloadSimulation:
-    """Send callers at a rate that changes; count by second what became of them.
+    """Simulate callers that arrive at a changing rate; count their outcomes by second.
 
-    outcomes[second of the first try] counts "on time", "late" and "refused".
+    outcomes[second of the first attempt] counts "on time", "late" and "refused".
     """
 
     def __init__(self, rate, seconds, seed=1):
@@ -55,15 +55,17 @@
         self.seconds = seconds
         self.random = random.Random(seed)
         self.engines = [Engine() for _ in range(ENGINES)]
-        self.usual = PatienceTracker()
+        self.patience_tracker = PatienceTracker()
         self.outcomes = collections.defaultdict(collections.Counter)
         self.events = []
         self.order = itertools.count()
 
     def at(self, when, what, *details):
+        """Schedule a call of what(when, *details)."""
         heapq.heappush(self.events, (when, next(self.order), what, details))
 
     def run(self):
+        """Run the simulation to its end; return the outcomes."""
         self.at(0.0, self.arrive)
         while self.events:
             now, _, what, details = heapq.heappop(self.events)
@@ -71,16 +73,17 @@
         return self.outcomes
 
     def arrive(self, now):
+        """Let a new caller ask, and schedule the next arrival."""
         if now >= self.seconds:
             return
         self.at(now + self.random.expovariate(self.rate(now)), self.arrive)
-        patience = PATIENCE_SECONDS * self.random.uniform(LEAST_PATIENCE_PART, 1.0)
+        patience = PATIENCE_SECONDS * self.random.uniform(LEAST_PATIENCE_SHARE, 1.0)
         self.ask(now, Caller(now, now + patience))
 
     def ask(self, now, caller):
-        """Place a caller at the least loaded engine, or refuse it at once."""
+        """Queue a caller at the least loaded engine; if full, let it retry once."""
         left = caller.gives_up_at - now
-        is_caller_retry = not self.usual.is_fresh(left)
+        is_caller_retry = not self.patience_tracker.is_fresh(left)
         engine = min(self.engines, key=lambda each: each.requests)
         strain = self.pass_seconds() / PAUSE_SECONDS
         bound = request_limit(
@@ -100,6 +103,7 @@
             self.at(now + retry_delay(left, self.random), self.ask, caller)
 
     def start(self, now, engine):
+        """Start waiting streams in the free slots of an engine."""
         while engine.waiting and engine.running < SLOTS:
             caller = engine.waiting.popleft()
             engine.running += 1
@@ -109,17 +113,20 @@
             self.at(first_event_at + EVENTS * self.pass_seconds(), self.leave, engine)
 
     def leave(self, now, engine):
+        """End a stream, and start the next one."""
         engine.running -= 1
         self.start(now, engine)
 
     def end(self, caller, outcome):
+        """Count the outcome of a caller."""
         self.outcomes[int(caller.first_at)][outcome] += 1
 
     def pass_seconds(self):
+        """Return the current duration of a pass."""
         running = sum(engine.running for engine in self.engines)
         return PASS_SECONDS + FULL_PASS_SECONDS * running / (ENGINES * SLOTS)
 
 
 def count(outcomes, seconds):
-    """Return what became of the callers who first came in a range of seconds."""
+    """Return the outcomes of the callers that first arrived in a range of seconds."""
     return sum((outcomes[second] for second in seconds), collections.Counter())
--- a/tests/support/peers.py
+++ b/tests/support/peers.py
@@ -1,4 +1,4 @@
-"""Build peer keys, hellos, certificates and connected pairs for tests."""
+"""Build peer keys, handshakes, certificates and connected pairs."""
 
 import asyncio
 import contextlib
@@ -40,7 +40,7 @@
 
 @contextlib.asynccontextmanager
 async def connected():
-    """Give the two FrameConnections of one real TCP connection."""
+    """Yield the two FrameConnections of a TCP connection."""
     accepted = asyncio.get_running_loop().create_future()
 
     async def accept(reader, writer):
@@ -59,7 +59,7 @@
 
 
 class Authority:
-    """Issue certificates for loopback addresses into a directory."""
+    """Issue certificates and write them to a directory."""
 
     def __init__(self, directory):
         self.directory = directory
@@ -70,6 +70,7 @@
         self.path.write_bytes(pem(self.certificate))
 
     def build(self, subject, key, *, is_authority=False, names=()):
+        """Return a certificate that is valid for a day."""
         builder = (
             x509.CertificateBuilder()
             .subject_name(subject)
@@ -85,7 +86,7 @@
         return builder.sign(self.key, hashes.SHA256())
 
     def issue(self, name, host="127.0.0.1", dns=""):
-        """Write a certificate and its key; return the TlsFiles that name them."""
+        """Write a certificate and its key; return their TlsFiles."""
         key = ec.generate_private_key(ec.SECP256R1())
         subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
         address = x509.IPAddress(ipaddress.ip_address(host))
@@ -104,4 +105,5 @@
 
 
 def pem(certificate):
+    """Return a certificate in PEM form."""
     return certificate.public_bytes(serialization.Encoding.PEM)
--- a/tests/support/proposals.py
+++ b/tests/support/proposals.py
@@ -1,4 +1,4 @@
-"""Build changes as the operators' API takes them."""
+"""Build changes as the operators' API accepts them."""
 
 import copy
 import uuid
--- a/tests/support/routing.py
+++ b/tests/support/routing.py
@@ -1,4 +1,4 @@
-"""Build routing documents and listed endpoints with sensible defaults."""
+"""Build routing documents and listed endpoints with default values."""
 
 from fescuedrum.conf.routing import (
     EngineProfile,
--- a/tests/support/tables.py
+++ b/tests/support/tables.py
@@ -1,11 +1,15 @@
-"""Hold the platform's table and object store in memory, with faults to order."""
+"""Implement the platform's table and object store in memory, with faults on demand."""
 
 from fescuedrum.exceptions import StoreUnavailable
 from fescuedrum.platform.interfaces import Row
 
 
 class MemoryTable:
-    """Implement Table and ObjectStore; down refuses, lost_answers drops answers."""
+    """Implement Table and ObjectStore.
+
+    All calls fail while down is set. The next lost_answers transactions are applied and
+    raise StoreUnavailable.
+    """
 
     def __init__(self):
         self.rows = {}
@@ -14,6 +18,7 @@
         self.lost_answers = 0
 
     def check(self):
+        """Raise StoreUnavailable while the table is down."""
         if self.down:
             raise StoreUnavailable("The table is down.")
 
