--- a/tests/integration/test_chaos.py
+++ b/tests/integration/test_chaos.py
@@ -1,4 +1,4 @@
-"""Check the site under faults, and that the checker can fail."""
+"""Check a site under faults, and that the checker finds violations."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
     return record
 
 
-def test_the_checker_sees_each_broken_promise():
+def test_the_checker_finds_each_violated_guarantee():
     answered, not_run = Outcome.ANSWERED, Outcome.NOT_RUN
     first = build_record(answered)
     assert judge([first], {"order-1": 1}).kept
@@ -29,7 +29,7 @@
     assert judge([first, later], {"order-1": 1}).kept
 
 
-async def test_a_short_run_of_random_faults_breaks_no_promise():
+async def test_a_short_run_of_random_faults_violates_no_guarantee():
     plan = ChaosPlan(seed=1, seconds=6, callers=8, fault_seconds=0.5, engines=1)
     result = await run_chaos(plan)
     assert result.verdict.kept, result.verdict
@@ -37,16 +37,16 @@
     assert result.verdict.answered > 50
 
 
-async def test_a_store_outage_stops_keyed_work_only_and_says_so_truly():
-    """The platform's table is down for longer than any caller waits.
+async def test_a_store_outage_stops_only_keyed_requests_and_reports_them_as_not_run():
+    """Guard against bookings that are lost or doubled by an outage of the table.
 
-    Stock lookups go on. A club's booking can't be claimed; it waits to its deadline
-    and is told not run. When the table is back the same key books once.
+    The outage lasts longer than any caller waits. Requests without a key still work; a
+    keyed booking can't be claimed and is reported as not run at its deadline.
     """
     async with Site(SiteShape(zones=1, entries=1, engines=0), ["club"]) as site:
         caller = Caller(site.session, site.entries[0].url, "club", site.keys["club"])
         await site.set_faults(down=True)
-        # Long enough for the look-up on a machine that does much else.
+        # Long enough for the look-up on a busy machine.
         caller.headers["Fescuedrum-Deadline-Ms"] = "2500"
         told, looked_up = await asyncio.gather(caller.book("o"), caller.look_up("tea"))
         assert (told.outcome, told.code) == ("not-run", "key-not-checked")
@@ -60,9 +60,10 @@
 
 
 async def test_a_key_sent_with_another_body_is_refused():
-    """A receptionist's app uses a key again for another order by mistake.
+    """Guard against answering a request with the recorded answer to another one.
 
-    Given the recorded answer it would take the second order for confirmed.
+    A caller reuses a key for another order by mistake, and would believe that the
+    second order is confirmed.
     """
     async with Site(SiteShape(zones=1, entries=1, engines=0), ["club"]) as site:
         caller = Caller(site.session, site.entries[0].url, "club", site.keys["club"])
@@ -74,11 +75,11 @@
         assert await site.count_executions() == {"one": 1}
 
 
-async def test_the_answer_to_a_key_outlives_the_agent_that_gave_it():
-    """A receptionist asks again after the endpoint's instance was replaced.
+async def test_the_answer_to_a_key_survives_the_stop_of_its_agent():
+    """Guard against answers that are held only in the memory of an agent.
 
-    Only the agent's memory held the answer once; with it gone the order would be
-    unknown for ever, though it was confirmed.
+    When the agent's instance is replaced, a repeat of the key would be answered as
+    unknown although the order was confirmed.
     """
     async with Site(SiteShape(zones=1, entries=2, engines=0), ["club"]) as site:
         callers = [
@@ -92,11 +93,11 @@
         assert (again.outcome, again.whole) == (Outcome.ANSWERED, True)
 
 
-async def test_a_caller_who_leaves_frees_the_engine_and_keeps_its_booking():
-    """A receptionist closes the app while a draft and a booking are under way.
+async def test_a_disconnected_caller_frees_the_engine_and_keeps_its_booking():
+    """Guard against streams that run without a reader, and against cancelled bookings.
 
-    The engine must not go on with a draft that nobody reads; the booking, which may
-    be half done, must come to its end, and its repeat gets the answer.
+    A caller disconnects during a stream and a booking. The engine must stop the stream;
+    the booking may be half done, so it must finish, and a repeat gets its answer.
     """
     shape = SiteShape(zones=1, entries=1, engines=1, step_seconds=0.05)
     async with Site(shape, ["club"]) as site:
--- a/tests/integration/test_console.py
+++ b/tests/integration/test_console.py
@@ -1,4 +1,4 @@
-"""Drive the console over HTTP as a browser without scripts."""
+"""Check the console over HTTP with a browser that runs no scripts."""
 
 import asyncio
 
@@ -12,6 +12,7 @@
 
 
 async def wait_state(site, zone, state):
+    """Wait until the status shows a zone as out or in."""
     async with asyncio.timeout(10):
         while True:
             _, shown = await site.operate(site.entries[1], "status")
@@ -20,7 +21,7 @@
             await asyncio.sleep(0.05)
 
 
-async def test_an_operator_edits_reviews_and_applies_and_sees_the_trail():
+async def test_an_operator_edits_reviews_and_applies_and_sees_the_audit():
     async with Site(SMALL, ["club"]) as site, Browser(site.entries[0].url) as browser:
         assert "Sign in" in await browser.open("/console/")
         assert "not valid" in await browser.sign_in("operator.wrong")
@@ -41,7 +42,7 @@
         assert "topsecret" not in text
         (form,) = [form for form in browser.page.forms if form.action == EDIT]
         assert form.fields["organisations.0.weight"] == "heavy"
-        # Any entry can go on with the draft: it travels with the form.
+        # Any entry can continue with the draft, which the form contains.
         browser.switch_entry(site.entries[1].url)
         weight = {"organisations.0.weight": "2.5"}
         text = await browser.send(EDIT, button="review", **weight)
@@ -61,9 +62,9 @@
 
 
 async def test_a_race_shows_both_changes_and_lets_the_operator_merge():
-    """Two operators work on drafts from one version, and the second one applies last.
+    """Guard against an operator who silently undoes the change of another one.
 
-    Without the check the second would undo the first's change without a word.
+    Both edit drafts of the same version; the second one to apply must see both changes.
     """
     async with (
         Site(SMALL, ["club"]) as site,
@@ -94,7 +95,7 @@
 
 async def test_a_zone_goes_out_and_in_with_two_clicks_each():
     async with Site(SMALL, ["club"]) as site, Browser(site.entries[0].url) as browser:
-        # Until each zone's endpoints are heard, taking one out could be an outage.
+        # Before the endpoints of all zones are known, taking one out may be an outage.
         await site.wait_in_force(1)
         await browser.sign_in(site.operator_token)
         for state in ("out", "in"):
@@ -108,7 +109,7 @@
 
 
 async def test_forms_of_other_sites_and_changed_drafts_are_refused():
-    """A page elsewhere makes an operator's browser send a form of the console."""
+    """Guard against a foreign page that makes a browser submit a console form."""
     async with Site(SMALL, ["club"]) as site, Browser(site.entries[0].url) as browser:
         await browser.sign_in(site.operator_token)
         await browser.open("/console/zones/zone-2/out")
@@ -124,7 +125,7 @@
         assert shown["version"] == 1
 
 
-async def test_tokens_can_not_be_guessed_in_numbers():
+async def test_sign_in_attempts_are_rate_limited():
     async with Site(SMALL, ["club"]) as site, Browser(site.entries[0].url) as browser:
         for number in range(11):
             await browser.sign_in(f"operator.{number}")
--- a/tests/integration/test_crashes.py
+++ b/tests/integration/test_crashes.py
@@ -1,4 +1,4 @@
-"""Kill entry and agent at every step of the protocol."""
+"""Check bookings when an entry or an agent crashes at any step of the protocol."""
 
 import asyncio
 
@@ -11,9 +11,9 @@
 from fescuedrum_bench.site import Site, SiteShape
 
 ORDERS = 6
-# The entries are gone for a second or two; an agent's crash is told at once.
+# A crashed entry is away for 1 to 2 s; an agent's crash is reported at once.
 TRIES = {"entry": 60, "agent": 12}
-# Steps that only a repeat of a key reaches: its first sending must fail before them.
+# Steps that only a repeated key reaches, after its first attempt has failed.
 REPEAT_STEPS = {
     ProtocolStep.ENTRY_BEFORE_FENCE,
     ProtocolStep.ENTRY_FENCED,
@@ -21,8 +21,8 @@
 }
 
 
-async def insist(callers, reference, records, tries):
-    """Send a booking until its caller has an answer, each time by the next entry."""
+async def book_until_answered(callers, reference, records, tries):
+    """Send a booking through one entry after the other until it is answered."""
     for attempt in range(tries):
         record = await callers[attempt % len(callers)].book(reference)
         records.append(record)
@@ -31,18 +31,18 @@
         await asyncio.sleep(0.2)
 
 
-async def revive(site, member):
+async def restart_after_crash(site, member):
+    """Wait for the crash of a process and start it again."""
     await member.process.wait()
     await site.restart(member)
 
 
 @pytest.mark.parametrize("step", list(ProtocolStep))
 async def test_a_crash_at_any_step_loses_and_doubles_nothing(step):
-    """A club sends a booking again after its connection broke.
+    """Guard against lost and doubled bookings when a process is killed at a step.
 
-    The entry or the agent that had it in hand was killed at that step. The repeat,
-    through another entry, must find what became of the first sending: not book again
-    what ran, not report as not run what did, and book what never started.
+    The caller repeats the key through another entry. A booking that ran must not run
+    again or be reported as not run; one that never started must run.
     """
     victim = "agent-service-0" if step.startswith("agent") else "entry-0"
     tries = TRIES[step.partition("-")[0]]
@@ -53,8 +53,8 @@
         entries.reverse()
         site.fault_steps["entry-1"] = ProtocolStep.ENTRY_CLAIMED
     async with site:
-        reviving = [
-            asyncio.create_task(revive(site, site.members[name]))
+        restarting = [
+            asyncio.create_task(restart_after_crash(site, site.members[name]))
             for name in site.fault_steps
         ]
         records = []
@@ -63,11 +63,14 @@
             for name in entries
         ]
         await asyncio.gather(
-            *(insist(callers, f"o-{i}", records, tries) for i in range(ORDERS))
+            *(
+                book_until_answered(callers, f"o-{i}", records, tries)
+                for i in range(ORDERS)
+            )
         )
-        # Nothing is proved unless the step was reached.
+        # The test is valid only if the step was reached.
         async with asyncio.timeout(5):
-            await asyncio.gather(*reviving)
+            await asyncio.gather(*restarting)
         executions = await site.count_executions()
     verdict = judge(records, executions)
     assert verdict.kept, (verdict, records, executions)
--- a/tests/integration/test_desired_state.py
+++ b/tests/integration/test_desired_state.py
@@ -1,4 +1,4 @@
-"""Drive the operators' commands and API against real processes."""
+"""Check the operators' commands and API with real processes."""
 
 import asyncio
 import copy
@@ -16,7 +16,7 @@
 
 
 async def run_command(site, *arguments, as_json=True):
-    """Run a command of the binary: (exit code, decoded output, messages)."""
+    """Run a command; return (exit code, decoded output, messages)."""
     token_file = site.directory / "token"
     token_file.write_text(site.operator_token)
     options = ["--entry", site.entries[0].url, "--token-file", str(token_file)]
@@ -33,6 +33,7 @@
 
 
 def proposal(version, document, **changes):
+    """Return the body of a call that applies a document."""
     data = {
         "base_version": version,
         "document": schema.dump_non_default(document),
@@ -42,6 +43,7 @@
 
 
 def weighted(document, weight):
+    """Return a copy of a document with another weight of the first organisation."""
     changed = copy.deepcopy(document)
     changed.organisations[0].weight = float(weight)
     return changed
@@ -66,7 +68,7 @@
         code, trail, _ = await run_command(site, "audit")
         assert (code, trail["findings"]) == (EXIT_OK, [])
         assert [record["who"] for record in trail["records"]] == ["operator", "site"]
-        # The same base again: another operator was first, and both sides are shown.
+        # A second change from the same base conflicts; both changes are shown.
         path.write_text(path.read_text().replace("2.5", "3.5"))
         code, _, messages = await run_command(site, "apply", str(path), *base)
         assert code == EXIT_RACED
@@ -74,11 +76,11 @@
         assert "theirs: organisation club: weight changed from 1.0 to 2.5" in messages
 
 
-async def test_a_change_that_cuts_a_service_off_needs_its_word():
+async def test_a_change_that_causes_an_outage_must_allow_it():
     async with Site(SMALL, ["club"]) as site:
         await site.wait_in_force(1)
         document = copy.deepcopy(site.document)
-        # The only instance of the bookings stands in this zone.
+        # The only instance of the bookings service is in this zone.
         document.zones[0].state = documents.ZoneState.OUT
         path = site.directory / "document.json"
         path.write_bytes(documents.encode_canonical(document))
@@ -91,7 +93,7 @@
         assert (status, answer["version"]) == (200, 2)
 
 
-async def test_strangers_and_viewers_change_nothing():
+async def test_the_operators_api_requires_a_token():
     async with Site(SMALL, ["club"]) as site:
         url = f"{site.entries[0].url}/operators/configuration"
         async with site.session.get(url) as response:
@@ -100,12 +102,11 @@
         assert body["error"]["code"] == "not-signed-in"
 
 
-async def test_racing_operators_lose_no_change_and_the_trail_is_whole():
-    """Two operators change weights at once and one change is gone afterwards.
+async def test_concurrent_operators_lose_no_change_and_the_audit_is_complete():
+    """Guard against lost updates of operators who change weights at the same time.
 
-    Each read the newest version, changed it and wrote it back; without the compare
-    the later write would carry the older text of the other's part. Answers of the
-    platform get lost meanwhile.
+    Each reads the newest version, changes it and writes it back. Without the version
+    check, a later write would restore older values. Responses of the platform get lost.
     """
     async with Site(SMALL, ["club", "county", "league"]) as site:
         tasks = [
@@ -125,7 +126,7 @@
 
 
 async def keep_changing(site, index, times):
-    """Raise one organisation's weight by 1 so many times, beginning anew on a race."""
+    """Raise an organisation's weight by 1 several times, and retry on a conflict."""
     entry = site.entries[index]
     done = 0
     while done < times:
@@ -134,7 +135,7 @@
             continue
         data = build_change(shown, index)
         status, answer = await site.operate(entry, "apply", data)
-        # The same id again settles what the first answer left open.
+        # A repeat with the same id shows whether the change was applied.
         while status == 503:
             status, answer = await site.operate(entry, "apply", data)
         assert status in (200, 409), answer
@@ -142,11 +143,11 @@
     return done
 
 
-async def test_a_new_process_starts_from_its_peers_when_the_platform_is_out():
-    """A replaced entry answers 503 for as long as the platform is out.
+async def test_a_new_process_gets_its_configuration_from_peers_in_an_outage():
+    """Guard against a new entry that answers 503 until the platform is available.
 
-    It has nothing on disk and can't read the head or the instance list; an entry of
-    its zone that it knows from its settings has both.
+    It has no state on disk and can't read the document or the instance list; an entry
+    of its zone that its settings name has both.
     """
     shape = SiteShape(zones=1, entries=1, engines=1, services=1)
     async with Site(shape, ["club"]) as site:
--- a/tests/integration/test_fault_proxy.py
+++ b/tests/integration/test_fault_proxy.py
@@ -1,4 +1,4 @@
-"""Check that the fault proxy does to connections only what a network can do."""
+"""Check that the fault proxy does nothing that a network can't do."""
 
 import asyncio
 
@@ -6,12 +6,13 @@
 
 LINES = [b"%d\n" % number for number in range(1, 13)]
 LINE_SECONDS = 0.04
-# Long enough for lines to be lost, and over before the last one.
+# Long enough to lose lines, but over before the last one.
 PARTITION_SECONDS = 0.2
 READ_SECONDS = 3.0
 
 
 async def write_lines(_, writer):
+    """Write the lines at intervals and close the connection."""
     for line in LINES:
         writer.write(line)
         await asyncio.sleep(LINE_SECONDS)
@@ -19,7 +20,7 @@
 
 
 async def read_until_silent(reader):
-    """Return all that comes within a time."""
+    """Return all data that is received within READ_SECONDS."""
     got = b""
     try:
         async with asyncio.timeout(READ_SECONDS):
@@ -30,11 +31,11 @@
     return got
 
 
-async def test_a_partition_leaves_no_hole_in_a_connection():
-    """The soak blames a gateway for a stream that lacks events in its middle.
+async def test_a_partition_leaves_no_gap_in_a_connection():
+    """Guard against a proxy that drops bytes and forwards later ones of a connection.
 
-    The proxy before the endpoint drops bytes during a partition and carries the same
-    connection's later ones. A network loses the rest, or nothing.
+    A network loses all later bytes or none. With a gap, the soak would report a gateway
+    for a stream that lacks events in its middle.
     """
     server = await asyncio.start_server(write_lines, "127.0.0.1", 0)
     proxy = FaultProxy("127.0.0.1", server.sockets[0].getsockname()[1])
--- a/tests/integration/test_gateway.py
+++ b/tests/integration/test_gateway.py
@@ -1,4 +1,4 @@
-"""Check what callers and endpoints see of a gateway, over real connections."""
+"""Check what callers and endpoints receive from a gateway over real connections."""
 
 import asyncio
 
@@ -17,6 +17,7 @@
 
 
 def document_of(kind, **changes):
+    """Return a document with one route of a kind."""
     return build_routing_document(routes=(build_route(kind=kind, **changes),))
 
 
@@ -28,7 +29,7 @@
         return answer.status, answer.headers, await answer.read()
 
 
-async def test_a_request_goes_through_unchanged_but_for_what_gateways_set():
+async def test_a_request_is_forwarded_unchanged_except_for_the_gateways_headers():
     endpoint = StandInEndpoint("e-1", engines.whole(b"loosen it", X_Extra="1"))
     async with site(endpoint) as (running, session):
         status, headers, body = await call(
@@ -45,7 +46,7 @@
     assert 1.0 < float(seen["Patience"]) < 2.0
 
 
-async def test_what_no_configuration_allows_reaches_no_endpoint():
+async def test_requests_that_are_not_allowed_reach_no_endpoint():
     endpoint = StandInEndpoint("e-1", engines.whole())
     async with site(endpoint) as (running, session):
         assert (await call(running, session, path="/other/"))[0] == 404
@@ -54,7 +55,7 @@
     assert endpoint.seen == []
 
 
-async def test_a_gateway_without_a_configuration_says_when_to_come_back():
+async def test_a_gateway_without_a_configuration_says_when_to_retry():
     store = MemoryRowStore()
     async with running_gateway(store, ready=False) as running:
         await asyncio.sleep(0.2)
@@ -65,10 +66,10 @@
 
 
 async def test_a_request_that_may_run_once_is_never_sent_again():
-    """A deposit is booked twice.
+    """Guard against running a non-idempotent request twice.
 
-    The endpoint runs it and closes the connection before it answers. Whether it ran
-    can't be known, so that no other endpoint may get it, and no promise is made.
+    The endpoint closes the connection without a response. Whether the request ran is
+    unknown, so no other endpoint may get it, and the status must not say "not run".
     """
     first = StandInEndpoint("e-1", engines.close_unanswered)
     second = StandInEndpoint("e-2", engines.close_unanswered)
@@ -101,11 +102,11 @@
     assert refusing.seen
 
 
-async def test_a_refused_repeat_does_not_hide_that_the_first_sending_may_have_run():
-    """A caller is told that its request has not run, though an endpoint ran it.
+async def test_a_refused_retry_does_not_hide_that_the_first_attempt_may_have_run():
+    """Guard against reporting a request as not run that may have run.
 
-    The first endpoint closes the connection without an answer, and the second one
-    refuses the repeat.
+    The first endpoint closes the connection without a response, and the second one
+    refuses the retry.
     """
     first = StandInEndpoint("e-1", engines.close_unanswered)
     second = StandInEndpoint("e-2", engines.refusing())
@@ -118,7 +119,7 @@
     assert set(statuses) == {502}
 
 
-async def test_a_service_that_refuses_everywhere_is_left_alone_with_a_time_to_return():
+async def test_a_service_whose_endpoints_all_refuse_gets_no_more_attempts():
     refusing = [StandInEndpoint(f"e-{n}", engines.refusing()) for n in range(3)]
     async with site(*refusing) as (running, session):
         status, headers, _ = await call(running, session)
@@ -135,10 +136,10 @@
         engines.whole(Content_Length=10),
     ],
 )
-async def test_an_answer_that_is_not_the_requests_own_whole_one_is_not_passed_on(fault):
-    """A receptionist reads the order of another office.
+async def test_a_wrong_or_incomplete_response_is_not_forwarded(fault):
+    """Guard against forwarding the response to another request, or a corrupt one.
 
-    Endpoints answer late on the wrong connection, send spoiled bytes or break off.
+    Endpoints respond on the wrong connection, change the bytes or end too early.
     """
     endpoint = StandInEndpoint("e-1", fault)
     document = document_of(RequestKind.NON_IDEMPOTENT)
@@ -148,7 +149,7 @@
     assert b"done" not in body
 
 
-async def test_an_unsigned_success_is_not_passed_on():
+async def test_an_unsigned_success_is_not_forwarded():
     async def answer(seen):
         seen.writer.write(engines.head(seen, Content_Length=4) + b"fake")
         await seen.writer.drain()
@@ -157,11 +158,11 @@
         assert (await call(running, session))[0] == 502
 
 
-async def test_half_an_answer_without_a_length_is_no_answer():
-    """A caller takes half an answer for the whole one.
+async def test_a_truncated_response_without_a_length_is_not_forwarded():
+    """Guard against forwarding a truncated response as a complete one.
 
-    The endpoint's answer has no length and ends with its connection, which is reset in
-    the middle; the HTTP library takes the reset for the end.
+    The response has no length and ends with its connection. The connection is reset
+    midway, and the HTTP library treats the reset as the end.
     """
 
     async def answer(seen):
@@ -178,7 +179,7 @@
         assert (await call(running, session))[0] == 502
 
 
-async def test_a_silent_endpoint_is_given_up_at_the_routes_timeout():
+async def test_a_silent_endpoint_times_out_after_the_routes_timeout():
     endpoint = StandInEndpoint("e-1", engines.never_answer)
     document = document_of(RequestKind.NON_IDEMPOTENT, timeout=0.5)
     loop = asyncio.get_running_loop()
@@ -188,8 +189,8 @@
         assert 0.4 < loop.time() - began < 1.0
 
 
-async def test_an_endpoint_stops_when_its_caller_leaves():
-    """Engines write streams that nobody reads, while others wait for their places."""
+async def test_a_request_is_cancelled_at_the_endpoint_when_its_caller_disconnects():
+    """Guard against engines that go on with streams that nobody reads."""
     endpoint = StandInEndpoint("e-1", engines.never_answer)
     async with site(endpoint) as (running, session):
         with pytest.raises(TimeoutError):
@@ -200,7 +201,7 @@
 
 
 async def read_events(running, session, **headers):
-    """Return the body of a stream and whether it came to its proper end."""
+    """Return (body, whether the stream ended properly)."""
     body = b""
     try:
         async with session.post(
@@ -215,14 +216,15 @@
 
 
 def events(first, last):
+    """Return the events with the given numbers."""
     return b"".join(engines.event(number) for number in range(first, last + 1))
 
 
-async def test_a_stream_goes_on_at_another_endpoint_where_it_broke_off():
-    """A player's advice ends in the middle of a sentence.
+async def test_a_truncated_stream_is_resumed_at_another_endpoint():
+    """Guard against a stream that ends early when its engine crashes.
 
-    The engine crashes within an event; another one resumes behind the last whole one,
-    and the caller gets each event once.
+    The engine crashes within an event. Another one resumes after the last complete
+    event, and the caller gets each event once.
     """
     broken = StandInEndpoint(
         "broken", engines.streaming(1, 3, ends=False, tail=b"id: 4\nda")
@@ -236,7 +238,7 @@
     assert {seen["Last-Event"] for seen in good.seen} <= {"", "3"}
 
 
-async def test_a_stream_that_can_not_go_on_is_seen_to_be_cut():
+async def test_a_stream_that_is_not_resumable_is_visibly_truncated():
     broken = StandInEndpoint("e-1", engines.streaming(1, 3, ends=False))
     document = document_of(RequestKind.STREAM)
     async with site(broken, document=document) as (running, session):
@@ -244,7 +246,7 @@
     assert len(broken.seen) == 1
 
 
-async def test_a_caller_can_go_on_where_it_was():
+async def test_a_caller_can_resume_a_stream():
     endpoint = StandInEndpoint("e-1", engines.streaming(1, 6))
     document = document_of(RequestKind.RESUMABLE_STREAM)
     async with site(endpoint, document=document) as (running, session):
@@ -254,7 +256,7 @@
         )
 
 
-async def test_a_zone_taken_out_gets_no_new_work():
+async def test_a_zone_that_is_out_gets_no_new_requests():
     endpoint = StandInEndpoint("e-1", engines.whole())
     async with site(endpoint) as (running, session):
         store = running.gateway.store
@@ -266,7 +268,7 @@
         assert (await call(running, session))[0] == 200
 
 
-async def test_an_odd_row_spoils_no_other():
+async def test_an_invalid_row_does_not_affect_others():
     endpoint = StandInEndpoint("e-1", engines.whole())
     async with site(endpoint) as (running, session):
         store = running.gateway.store
@@ -276,7 +278,7 @@
         assert (await call(running, session))[0] == 200
 
 
-async def test_a_stop_ends_what_runs_and_says_that_connections_end():
+async def test_a_stop_finishes_running_requests_and_closes_their_connections():
     async def slow(seen):
         await asyncio.sleep(0.5)
         await engines.whole()(seen)
@@ -296,10 +298,11 @@
         await asyncio.wait_for(running.task, 5.0)
 
 
-async def test_a_gateway_that_starts_while_the_store_is_away_learns_from_a_peer():
-    """A replaced machine refuses every caller until the store is back.
+async def test_a_gateway_that_starts_in_a_store_outage_learns_from_a_peer():
+    """Guard against a new gateway that refuses all callers until the store is back.
 
-    It knows the addresses of its settings only; one of them is a gateway that serves.
+    It knows only the addresses in its settings; one of them is that of a running
+    gateway.
     """
     store = MemoryRowStore()
     store.put("operators", "document", build_routing_document(version=7))
@@ -324,7 +327,7 @@
 
 
 async def test_gateways_count_each_others_requests():
-    """Seven gateways each send their requests to the engine that they think is idle."""
+    """Guard against gateways that all choose an engine because each sees it idle."""
     store = MemoryRowStore()
     store.put("operators", "document", build_routing_document())
     busy = await StandInEndpoint("busy", engines.never_answer).start()
@@ -343,11 +346,11 @@
     busy.server.close()
 
 
-async def test_a_misdirected_sending_counts_as_a_repeat():
-    """Endpoints get three times the repeats that their service bears.
+async def test_a_misdirected_attempt_counts_as_a_retry():
+    """Guard against more retries than the service's retry budget allows.
 
-    A zone lost power while the store was away: other endpoints stand at its addresses,
-    and each request was sent on from one to the next, as none of them ran it.
+    A zone lost power during a store outage, and other endpoints got its addresses. Each
+    request was sent from one to the next, because none of them ran it.
     """
     other = StandInEndpoint("e-1", engines.refusing(421))
     also = StandInEndpoint("e-2", engines.refusing(421))
@@ -359,7 +362,7 @@
 
 
 async def read_metrics(running, session):
-    """Return the values of the gateway's metrics that have no labels, by name."""
+    """Return the values of the gateway's metrics without labels, by name."""
     url = f"http://{running.gateway.settings.ready_address}/metrics"
     async with session.get(url) as answer:
         lines = (await answer.text()).splitlines()
@@ -367,10 +370,10 @@
     return {pair[0]: float(pair[1]) for pair in pairs}
 
 
-async def test_metrics_tell_how_old_what_is_believed_is():
-    """A list of endpoints is an hour old at one gateway, and nothing shows it.
+async def test_metrics_show_the_age_of_the_gateways_data():
+    """Guard against a gateway whose list of endpoints is an hour old unnoticed.
 
-    The store answers it no longer, and no other gateway is heard.
+    The store does not respond to it, and it hears no other gateway.
     """
     endpoint = StandInEndpoint("e-1", engines.whole())
     async with site(endpoint) as (running, session):
@@ -387,29 +390,29 @@
         assert "fescuedrum_gateway_loop_delay_seconds_count" in second
 
 
-async def test_an_endpoint_in_need_gets_no_more_than_it_takes():
-    """An engine that asked to be spared gets every request for which it has a place."""
-    needy = StandInEndpoint("needy", engines.whole(Rate="0.5"))
+async def test_a_rate_limited_endpoint_gets_no_more_than_its_rate():
+    """Guard against filling all slots of an endpoint that announced a low rate."""
+    limited = StandInEndpoint("needy", engines.whole(Rate="0.5"))
     good = StandInEndpoint("good", engines.whole())
-    async with site(needy, good) as (running, session):
+    async with site(limited, good) as (running, session):
         for _ in range(20):
             assert (await call(running, session))[0] == 200
-    assert len(needy.seen) == 2
+    assert len(limited.seen) == 2
     assert len(good.seen) == 18
 
 
-async def test_a_refusal_names_a_rate_as_well():
-    needy = StandInEndpoint("needy", engines.whole(b"", 503, Not_Run="1", Rate="0"))
+async def test_a_refusal_can_announce_a_rate():
+    limited = StandInEndpoint("needy", engines.whole(b"", 503, Not_Run="1", Rate="0"))
     good = StandInEndpoint("good", engines.whole())
-    async with site(needy, good) as (running, session):
+    async with site(limited, good) as (running, session):
         for _ in range(10):
             assert (await call(running, session))[0] == 200
-    assert len(needy.seen) == 1
+    assert len(limited.seen) == 1
 
 
-async def test_callers_are_refused_at_once_when_all_endpoints_are_in_need():
-    needy = StandInEndpoint("needy", engines.whole(Rate="0.25"))
-    async with site(needy) as (running, session):
+async def test_callers_are_refused_at_once_when_all_endpoints_are_rate_limited():
+    limited = StandInEndpoint("needy", engines.whole(Rate="0.25"))
+    async with site(limited) as (running, session):
         statuses = [(await call(running, session))[0] for _ in range(3)]
         status, headers, body = await call(running, session)
     assert statuses == [200, 503, 503]
@@ -417,8 +420,8 @@
     assert float(headers["Retry-After"]) > 0
 
 
-async def test_the_rate_of_another_endpoint_at_the_address_says_nothing():
-    """An engine is spared for the need of the one that has its address now."""
+async def test_the_rate_of_another_endpoint_at_the_address_is_ignored():
+    """Guard against applying a rate to the former endpoint of an address."""
     other = StandInEndpoint("gone", engines.whole(b"", 421, Not_Run="1", Rate="0"))
     good = StandInEndpoint("good", engines.whole())
     async with site(other, good) as (running, session):
--- a/tests/integration/test_gateway_stops.py
+++ b/tests/integration/test_gateway_stops.py
@@ -1,4 +1,4 @@
-"""Check what callers get of a gateway that was told to stop."""
+"""Check what callers get from a gateway that is stopping."""
 
 import asyncio
 import contextlib
@@ -21,13 +21,14 @@
 EVENT_SECONDS = 0.1
 # Longer than a stop in which nothing runs, shorter than one that waits.
 SLOW_READ_SECONDS = 4.0
-# More than the kernel and the library hold for a caller that reads nothing.
+# More than the kernel and the library buffer for a caller that reads nothing.
 LONG_BYTES = 32 * 1024 * 1024
-# By then the balancer has long noticed; a stop of 8 s has half of its time left.
+# After the balancer has noticed; half of a stop of 8 s is left.
 LATE_SECONDS = 4.28
 
 
 def streams_document(kind):
+    """Return a document with one route of a kind of stream."""
     return build_routing_document(routes=(build_route(kind=kind, timeout=8.0),))
 
 
@@ -35,7 +36,7 @@
 
 
 async def read_stream(running, session, request_id):
-    """Return (status, body, whether the answer came to its proper end)."""
+    """Return (status, body, whether the response ended properly)."""
     headers = caller_headers(Patience=PATIENCE, Request_Id=request_id)
     body = b""
     async with session.post(running.url + PATH, headers=headers) as answer:
@@ -48,7 +49,7 @@
 
 
 def streams(**seconds):
-    """Return what streams for so many seconds, by the request's id."""
+    """Return an answer function that streams for the seconds given by request id."""
 
     async def answer(seen):
         events = round(seconds[seen["Request-Id"]] / EVENT_SECONDS)
@@ -58,7 +59,7 @@
 
 
 async def stop_and_wait(running, seconds):
-    """Tell a gateway to stop, and return so many seconds later."""
+    """Stop a gateway and return the given seconds later."""
     running.stop.set()
     await running.until(lambda gateway: gateway.leaving)
     await asyncio.sleep(seconds)
@@ -75,7 +76,7 @@
 
 
 def raw_head(request_id, length):
-    """Return the head of a request with a body of so many bytes."""
+    """Return the head of a request with a body of this length."""
     headers = caller_headers(
         Patience=PATIENCE, Request_Id=request_id, Content_Length=length
     )
@@ -83,14 +84,15 @@
     return ("\r\n".join(lines) + "\r\n\r\n").encode()
 
 
-def told(caplog, message):
+def logged(caplog, message):
+    """Return the log records with a message."""
     return [record for record in caplog.records if record.getMessage() == message]
 
 
-async def test_an_answer_that_is_cut_by_the_end_of_the_process_is_logged_so(caplog):
-    """The log blames a caller who left for an answer that the gateway itself cut.
+async def test_a_response_that_is_truncated_by_the_end_of_the_process_is_logged(caplog):
+    """Guard against logging "caller left" when the gateway truncated a response.
 
-    A stream runs on when the time of a stop is over.
+    A stream still runs when the time of the stop is over.
     """
     caplog.set_level(logging.INFO)
     endpoint = StandInEndpoint("e-1", engines.streaming(1, 100, pause=0.1))
@@ -100,14 +102,16 @@
         running.stop.set()
         assert not (await reading)[2]
         await running.task
-    (ended,) = told(caplog, "request ended")
+    (ended,) = logged(caplog, "request ended")
     assert (ended.request, ended.result) == ("r-1", "cut")
     assert ended.detail == "the process stopped"
-    assert told(caplog, "caller left") == []
+    assert logged(caplog, "caller left") == []
 
 
-async def test_what_is_taken_in_spite_of_a_stop_is_logged_with_its_grounds(caplog):
-    """Nobody can say why a gateway took a request after it was told to stop."""
+async def test_a_request_that_is_accepted_during_a_stop_is_logged_with_the_reason(
+    caplog,
+):
+    """Guard against a log that does not show why a stopping gateway took a request."""
     caplog.set_level(logging.INFO)
     endpoint = StandInEndpoint("e-1", engines.streaming(1, 2))
     async with site(endpoint, document=STREAMS, stop_seconds=6.0) as (running, session):
@@ -117,20 +121,19 @@
         assert (await read_stream(running, session, "r-2"))[2]
         plan = running.gateway.stop_plan
         assert plan.last_taken > plan.began
-    (taken,) = told(caplog, "request taken while stopping")
+    (taken,) = logged(caplog, "request taken while stopping")
     assert (taken.request, taken.kept) == ("r-2", True)
     assert 0 <= taken.since_signal < 1
     assert 4 < taken.left < 6
     assert 7 < taken.may_last <= 8
 
 
-async def test_a_stream_taken_late_in_a_stop_is_not_cut():
-    """A driver's brief ends in the middle of a sentence, and no engine has failed.
+async def test_a_stream_that_arrives_late_in_a_stop_is_not_truncated():
+    """Guard against a stopping gateway that takes a request which it can't finish.
 
-    Its gateway was told to stop, and four seconds later its caller sent the request on
-    a kept connection. The gateway reckoned with three seconds for any answer, took it,
-    and ended before it. Evidence: the log's `request sent` 4.28 s after the signal, an
-    event 5 ms before the end, and `gateway drained` with this request still running.
+    The request came on a persistent connection 4.28 s after the stop signal. The
+    gateway assumed 3 s for any response, accepted it, and ended 5 ms after an event of
+    the stream.
     """
     endpoint = StandInEndpoint("e-1", streams(first=0.1, before=5.5, late=4.0))
     async with site(endpoint, document=STREAMS, stop_seconds=8.0) as (running, session):
@@ -144,11 +147,11 @@
     assert [seen["Request-Id"] for seen in endpoint.seen] == ["first", "before"]
 
 
-async def test_a_request_whose_body_comes_late_in_a_stop_is_not_cut():
-    """A long order is cut, though its gateway had been told to stop seconds before.
+async def test_a_request_whose_body_arrives_late_in_a_stop_is_not_truncated():
+    """Guard against a request that starts too late in a stop because of its slow body.
 
-    Its head came while requests were still taken; its body was slow, and what was sent
-    to the engine then was sent as late as the body.
+    Its head arrived while requests were still accepted, but it can be sent to the
+    engine only when the body is complete.
     """
     endpoint = StandInEndpoint("e-1", streams(first=0.1, before=5.5, slow=4.0))
     async with site(endpoint, document=STREAMS, stop_seconds=8.0) as (running, session):
@@ -165,12 +168,12 @@
     assert [seen["Request-Id"] for seen in endpoint.seen] == ["before"]
 
 
-async def test_a_request_is_not_sent_again_late_in_a_stop():
-    """A stream is cut midway that no gateway should have begun.
+async def test_a_request_is_not_retried_late_in_a_stop():
+    """Guard against a retry for which too little of the stop's time is left.
 
-    It came before the signal, and its engine refused it seconds after that. The next
-    engine got it when too little of the stop's time was left. Refused instead, its
-    caller was told to wait as for an outage, though another gateway serves at once.
+    An engine refused the request seconds after the signal, and a stream at the next one
+    was truncated. The refusal must have a short Retry-After, unlike that of an outage:
+    another gateway can serve the request at once.
     """
 
     async def refuse_late(seen):
@@ -194,11 +197,11 @@
     assert sum(len(each.seen) for each in endpoints) == 1
 
 
-async def test_a_stream_goes_on_at_another_endpoint_late_in_a_stop():
-    """A summary ends in the middle, though another engine had the rest of it.
+async def test_a_stream_is_resumed_at_another_endpoint_late_in_a_stop():
+    """Guard against a stream that is not resumed because its gateway is stopping.
 
-    It was nearly done when its engine broke off, late in the stop of its gateway. That
-    begins nothing new then, and so did not go on with what was certain to be cut.
+    Its engine failed near the end of the stream, late in the stop. The gateway starts
+    no new requests then, but without a resumption this stream is certainly truncated.
     """
 
     async def break_off(seen):
@@ -220,11 +223,11 @@
     assert (body.count(b"id: "), whole) == (34, True)
 
 
-async def test_kept_connections_that_rest_are_closed_once_the_balancer_has_noticed():
-    """Callers are refused, or worse, though other gateways would serve them at once.
+async def test_idle_connections_are_closed_once_the_balancer_has_noticed():
+    """Guard against callers that keep using a stopping gateway and are refused there.
 
-    They go on using the connections that they keep to a gateway that was told to stop:
-    the balancer has no say in these.
+    The balancer has no influence on connections that are already open; other gateways
+    would serve the requests.
     """
     endpoint = StandInEndpoint("e-1", streams(resting=0.1, before=5.5))
     async with site(endpoint, document=STREAMS, stop_seconds=8.0) as (running, session):
@@ -241,11 +244,11 @@
         assert (await before)[2]
 
 
-async def test_an_answer_that_its_caller_still_reads_is_not_cut():
-    """The second half of a long list is missing, and the endpoint had sent it all.
+async def test_a_response_that_its_caller_still_reads_is_not_truncated():
+    """Guard against losing the buffered part of a response at the end of a gateway.
 
-    Its caller reads slowly. The gateway counted the request as ended when the answer
-    was whole in its own memory, and ended with what had not left.
+    The caller reads slowly. The gateway counted the request as ended once it had the
+    whole response in memory, and ended before it had sent all of it.
     """
     size = LONG_BYTES
     endpoint = await long_answer().start()
@@ -267,7 +270,7 @@
 
 @contextlib.asynccontextmanager
 async def unread_answer(running):
-    """Have a caller that has asked for a long answer and reads none of it."""
+    """Connect a caller that requests a long response and reads none of it."""
     _, writer = await open_raw(running.callers_port, receive_buffer=4096)
     writer.transport.pause_reading()
     writer.write(raw_head("unread", 2) + b"{}")
@@ -278,14 +281,15 @@
 
 
 def long_answer():
+    """Return an endpoint with a long response."""
     return StandInEndpoint("e-1", engines.whole(b"x" * LONG_BYTES))
 
 
-async def test_what_comes_as_a_gateway_closes_is_refused():
-    """A lookup is cut within a tenth of a second, or finds nobody who listens.
+async def test_a_request_that_arrives_while_a_gateway_closes_is_refused():
+    """Guard against a request that is truncated or gets no connection during a stop.
 
-    It came while the gateway, with nothing else to do, waited for a caller that was
-    still reading its answer.
+    It arrived while the gateway only waited for a caller that was still reading a
+    response.
     """
     endpoint = long_answer()
     async with site(endpoint, stop_seconds=8.0) as (running, session):
@@ -302,10 +306,10 @@
     assert [seen["Request-Id"] for seen in endpoint.seen] == ["unread"]
 
 
-async def test_an_answer_that_is_not_delivered_is_logged(caplog):
-    """Half a list has arrived, and the log says that its request was answered.
+async def test_an_undelivered_response_is_logged(caplog):
+    """Guard against logging a request as answered whose response was not delivered.
 
-    Its caller read so slowly that the time of the stop was over first.
+    The caller read so slowly that the time of the stop was over first.
     """
     caplog.set_level(logging.INFO)
     async with (
@@ -313,35 +317,34 @@
         unread_answer(running),
     ):
         await running.end()
-    (lost,) = told(caplog, "answer not delivered")
+    (lost,) = logged(caplog, "answer not delivered")
     assert lost.request == "unread"
-    (stopped,) = told(caplog, "gateway stopped")
+    (stopped,) = logged(caplog, "gateway stopped")
     assert stopped.connections == 1
 
 
 @pytest.mark.parametrize("drips", [False, True])
 async def test_a_connection_without_a_request_does_not_hold_up_a_stop(drips):
-    """A machine can't be replaced, though its gateway has nothing to do.
+    """Guard against a stop that waits for a connection without a request.
 
-    Some program has opened a connection and sends no request on it, or one byte of its
-    head now and then.
+    A program opened the connection and sends nothing, or single bytes of a head.
     """
     loop = asyncio.get_running_loop()
     async with site(long_answer(), stop_seconds=8.0) as (running, _):
         _, writer = await open_raw(running.callers_port)
         running.stop.set()
-        told_at = loop.time()
+        stopped_at = loop.time()
         writer.write(b"GET / HTTP/1.1\r\nX: ")
         while not running.task.done():
             if drips and not writer.is_closing():
                 writer.write(b"x")
             await asyncio.sleep(0.05)
-        assert loop.time() - told_at < NOTICE_SECONDS + 2.0
+        assert loop.time() - stopped_at < NOTICE_SECONDS + 2.0
         writer.close()
 
 
 async def test_refused_requests_do_not_hold_up_a_stop():
-    """A machine's replacement takes seven seconds, and it refuses all the while."""
+    """Guard against a stop that lasts as long as requests arrive that it refuses."""
     loop = asyncio.get_running_loop()
     endpoint = StandInEndpoint("e-1", streams(first=0.1))
     async with site(endpoint, document=STREAMS, stop_seconds=8.0) as (running, session):
@@ -354,7 +357,7 @@
         assert loop.time() - plan.began < NOTICE_SECONDS + 2.0
 
 
-async def test_a_request_is_refused_at_once_though_its_body_is_still_to_come():
+async def test_a_request_is_refused_before_its_body_is_complete():
     endpoint = StandInEndpoint("e-1", streams(before=4.5))
     async with site(endpoint, document=STREAMS, stop_seconds=8.0) as (running, session):
         before = asyncio.create_task(read_stream(running, session, "before"))
@@ -368,10 +371,10 @@
         assert (await before)[2]
 
 
-async def test_a_body_that_stalls_is_given_up_in_its_callers_time():
-    """A request hangs for as long as its gateway lives, and holds up its stop.
+async def test_a_stalled_body_times_out_at_its_callers_deadline():
+    """Guard against a request without an end that delays the stop of its gateway.
 
-    The link broke in the middle of the body; the caller has long given up.
+    The connection failed in the middle of the body, and the caller has given up.
     """
     async with site(long_answer()) as (running, _):
         reader, writer = await open_raw(running.callers_port)
@@ -382,11 +385,11 @@
         writer.close()
 
 
-async def test_a_request_sent_before_the_answer_to_the_last_is_answered_in_a_stop():
-    """A program sends two lookups at once, and the second has no answer.
+async def test_pipelined_requests_are_answered_in_a_stop():
+    """Guard against a stopping gateway that drops the second of two pipelined requests.
 
-    Its gateway had read both when it was told to stop, and closed the connection after
-    the first answer.
+    It had read both before the stop, and closed the connection after the first
+    response.
     """
 
     async def answer_later(seen):
--- a/tests/integration/test_peers.py
+++ b/tests/integration/test_peers.py
@@ -1,4 +1,4 @@
-"""Check that the processes of a site prove themselves to each other, over TLS."""
+"""Check that the processes of a site authenticate each other, also over TLS."""
 
 import asyncio
 import signal
@@ -18,8 +18,8 @@
 from fescuedrum_bench.site import Site, SiteShape
 
 
-async def test_requests_cross_a_site_whose_processes_speak_tls(tmp_path):
-    """A fleet in which one name stands in the certificates of all processes."""
+async def test_requests_pass_a_site_whose_processes_use_tls(tmp_path):
+    """Check TLS between peers, and new certificates, if all share one server name."""
     authority = Authority(tmp_path)
     files = authority.issue("peers", dns="peers.test")
     settings = {"peer_tls": schema.dump(files)}
@@ -37,7 +37,7 @@
         ]
         records = [await caller.book("order-1") for caller in callers]
         records += [await caller.stream("advice") for caller in callers]
-        # Without TLS there is no handshake to begin with.
+        # A connection without TLS gets no handshake.
         stranger = await open_connection(site.agents[0])
         stranger.send(hello=frames.Hello(role="entry", nonce=b"n" * 32))
         assert b"agent" not in await stranger.reader.read()
@@ -54,7 +54,7 @@
 
 
 async def shown_certificate(member, files):
-    """Return the serial number of the certificate that a process shows now."""
+    """Return the serial number of the certificate that a process uses now."""
     context = Certificates().client_context(files)
     _, writer = await asyncio.open_connection(
         member.host, PORT, ssl=context, server_hostname=files.server_name
@@ -64,10 +64,10 @@
     return serial
 
 
-async def test_a_stranger_can_give_an_agent_no_order():
-    """Somebody on the network connects to an agent and sends a booking of its own.
+async def test_an_agent_runs_no_request_of_an_unauthenticated_peer():
+    """Guard against running a request of an attacker who connects to an agent.
 
-    The agent must neither run it nor tell anything about itself.
+    The agent must neither run it nor reveal anything about itself.
     """
     shape = SiteShape(entries=1, engines=0, services=1)
     order = frames.Request(
@@ -91,11 +91,12 @@
 
 
 async def open_connection(member):
+    """Return a connection to the peer port of a process."""
     return FrameConnection(*await asyncio.open_connection(member.host, PORT))
 
 
-async def test_an_entry_gives_no_request_to_a_process_without_the_key():
-    """Somebody takes an agent's address over and waits for bookings to come."""
+async def test_an_entry_sends_no_request_to_a_process_without_the_key():
+    """Guard against an attacker who takes over the address of an agent."""
     async with asyncio.timeout(20):
         seen = []
 
@@ -105,7 +106,7 @@
             while (frame := await connection.receive()) is not None:
                 body = codec.get_body(frame)
                 seen.append(body)
-                # It can't check the entry's proof, so it goes on whatever it was.
+                # Without the key it can't check the entry's proof; it continues anyway.
                 side.keyring = Keyring([])
                 answers = side.receive(body) if len(seen) < 3 else []
                 connection.send_all(answers)
--- a/tests/integration/test_process_ends.py
+++ b/tests/integration/test_process_ends.py
@@ -1,4 +1,4 @@
-"""Check what callers and entries get of a process that was told to stop."""
+"""Check what callers and entries get from an entry or agent that is stopping."""
 
 import asyncio
 import contextlib
@@ -31,14 +31,14 @@
 from fescuedrum.wire.handshake import Keyring
 from fescuedrum_entry.operators.changes import Changes
 
-# Over what a narrow link holds, and under the mark at which a sender waits.
+# More than the small send buffer holds, and below the high-water mark of a sender.
 ANSWER_BYTES = 40_000
 LINK_BYTES = 400_000
 END_SECONDS = 1.0
 
 
 async def begin(running, path, *headers):
-    """Send a request on a connection of its own; return its task once it runs."""
+    """Send a request on a new connection; return its task once it runs."""
     before = running.process.running
     caller = await Caller.connect(running)
     task = asyncio.create_task(caller.ask(path, *headers))
@@ -46,12 +46,11 @@
     return task
 
 
-async def test_an_entry_takes_late_in_a_stop_only_what_it_can_answer(monkeypatch):
-    """A receptionist's order is cut, and no endpoint has failed.
+async def test_an_entry_accepts_late_in_a_stop_only_what_it_can_finish(monkeypatch):
+    """Guard against a stopping entry that accepts a request which it can't finish.
 
-    Its entry was told to stop a minute ago, and one long request kept it alive. It
-    took the order all the same, with a deadline long after the time that its settings
-    give it, and the platform ended it then.
+    A long request kept the entry running. It accepted another one whose deadline was
+    after the end of the stop, when the platform kills the entry.
     """
     settings = {"notice_seconds": 0.3, "drain_seconds": 2.5}
     async with running_entry(monkeypatch, **settings) as (running, answers):
@@ -74,10 +73,10 @@
 
 
 async def test_an_entry_ends_in_time_whatever_still_runs(monkeypatch):
-    """The platform kills an entry that should have been gone for a minute.
+    """Guard against an entry that exceeds the time of its stop.
 
-    Operators gave it what its settings say; the HTTP library waited another minute
-    for a request that still ran, and callers came to a process at its end.
+    The HTTP library waited another minute for a request that still ran. The platform
+    then killed the process, which still had callers.
     """
     settings = {"notice_seconds": 0.1, "drain_seconds": 0.9}
     async with running_entry(monkeypatch, **settings) as (running, _):
@@ -87,11 +86,10 @@
         assert not (await before)[3]
 
 
-async def test_connections_that_rest_are_closed_after_the_notice(monkeypatch):
-    """Callers come back to a stopping entry for as long as one long request runs.
+async def test_idle_connections_are_closed_after_the_notice(monkeypatch):
+    """Guard against callers that use a stopping entry as long as one request runs.
 
-    The balancer has long taken it out, but their programs keep their connections and
-    know nothing of balancers.
+    The balancer no longer chooses the entry, but callers reuse open connections.
     """
     settings = {"notice_seconds": 0.3, "drain_seconds": 3.0}
     async with running_entry(monkeypatch, **settings) as (running, _):
@@ -106,8 +104,10 @@
 
 
 @pytest.mark.parametrize("path", ["/v1/models", "/healthz", "/operators/status"])
-async def test_each_answer_of_a_stopping_entry_ends_its_connection(monkeypatch, path):
-    """A program that lists models first keeps its connection to a stopping entry."""
+async def test_each_response_of_a_stopping_entry_closes_its_connection(
+    monkeypatch, path
+):
+    """Guard against requests other than calls that keep connections open in a stop."""
     async with running_entry(monkeypatch, notice_seconds=1.0) as (running, _):
         caller = await Caller.connect(running)
         running.request_stop()
@@ -118,10 +118,10 @@
 
 
 async def test_a_stopping_entry_sends_an_answer_to_its_last_byte(monkeypatch):
-    """The end of a whole answer is lost on its way to a slow caller.
+    """Guard against losing the end of a response to a slow caller.
 
-    Its request had run and was no longer counted. The last bytes stood in the
-    process's own buffer when it ended.
+    The request had ended and was no longer counted, but the last bytes were still in a
+    buffer of the process when it ended.
     """
     settings = {"notice_seconds": 0.1, "drain_seconds": 4.0}
     async with running_entry(monkeypatch, **settings) as (running, answers):
@@ -138,7 +138,7 @@
 async def test_a_stopping_entry_sends_an_answer_to_its_last_byte_over_tls(
     monkeypatch, tmp_path
 ):
-    """The same answer is lost where callers speak TLS to the entry itself."""
+    """Guard against losing the end of a response if callers use TLS to the entry."""
     files = Authority(tmp_path).issue("callers")
     settings = {"notice_seconds": 0.1, "drain_seconds": 4.0, "callers_tls": files}
     async with running_entry(monkeypatch, **settings) as (running, answers):
@@ -156,10 +156,12 @@
         assert await running.end() < 4.1
 
 
-async def test_a_booking_whose_caller_left_ends_before_its_entry(monkeypatch):
-    """Half a booking is left behind, and its repeat can't know what became of it.
+async def test_a_stopping_entry_waits_for_a_booking_whose_caller_disconnected(
+    monkeypatch,
+):
+    """Guard against a stop in the middle of a booking whose outcome is then unknown.
 
-    Its caller had left, so that no connection held it, and its entry was told to stop.
+    Its caller had disconnected, so the entry had no connection to wait for.
     """
     settings = {"notice_seconds": 0.1, "drain_seconds": 6.0}
     async with running_entry(monkeypatch, **settings) as (running, answers):
@@ -171,11 +173,11 @@
         assert await running.end() > 1.5
 
 
-async def test_a_resting_tls_connection_does_not_hold_up_a_stop(monkeypatch, tmp_path):
-    """An idle entry takes five seconds to stop, for a program that does nothing.
+async def test_an_idle_tls_connection_does_not_delay_a_stop(monkeypatch, tmp_path):
+    """Guard against an idle entry that takes 5 s to stop because of an idle caller.
 
-    It keeps a connection with TLS. The entry has closed it and waits for the word with
-    which TLS has the other side agree; the program reads nothing, and never says it.
+    The entry closed a TLS connection and waited for the caller's close_notify, but the
+    caller reads nothing and never sends it.
     """
     files = Authority(tmp_path).issue("callers")
     settings = {"notice_seconds": 0.3, "drain_seconds": 6.0, "callers_tls": files}
@@ -190,9 +192,9 @@
 
 
 async def test_a_change_that_might_outlast_a_stop_is_refused(monkeypatch):
-    """An operator's change is in force, and its console shows a broken connection.
+    """Guard against a change that is applied while the operator gets no response.
 
-    The entry took it a moment before its end.
+    The entry accepted it shortly before its end.
     """
     settings = {"notice_seconds": 0.1, "drain_seconds": 3.0}
     async with running_entry(monkeypatch, **settings) as (running, _):
@@ -206,10 +208,8 @@
         assert (await before)[0] == 200
 
 
-async def test_an_answer_that_is_not_delivered_is_logged_with_its_request(
-    monkeypatch, caplog
-):
-    """A caller asks why half its answer is missing, and no line has its id."""
+async def test_an_undelivered_response_is_logged_with_its_request(monkeypatch, caplog):
+    """Guard against a truncated response whose request id is not in the log."""
     caplog.set_level(logging.INFO)
     settings = {"notice_seconds": 0.1, "drain_seconds": 0.9}
     async with running_entry(monkeypatch, **settings) as (running, answers):
@@ -219,12 +219,12 @@
         running.request_stop()
         await running.end()
         caller.close()
-    (lost,) = told(caplog, "answer not delivered")
+    (lost,) = logged(caplog, "answer not delivered")
     assert lost.request
 
 
-async def test_a_caller_that_reads_nothing_does_not_hold_up_a_stop(monkeypatch):
-    """A program hangs with a connection open, and its entry can't be replaced."""
+async def test_a_caller_that_reads_nothing_does_not_delay_a_stop(monkeypatch):
+    """Guard against a stop that waits for a caller that does not read its response."""
     settings = {"notice_seconds": 0.1, "drain_seconds": 0.9}
     async with running_entry(monkeypatch, **settings) as (running, answers):
         caller = await Caller.connect(running)
@@ -235,8 +235,8 @@
         caller.close()
 
 
-async def test_a_stop_that_cuts_is_told_in_the_log(monkeypatch, caplog):
-    """Nobody can say whether it was the entry or the platform that cut a request."""
+async def test_a_stop_that_truncates_requests_is_logged(monkeypatch, caplog):
+    """Guard against a log that does not show whether the entry truncated a request."""
     caplog.set_level(logging.INFO)
     settings = {"notice_seconds": 0.1, "drain_seconds": 0.9}
     async with running_entry(monkeypatch, **settings) as (running, _):
@@ -244,32 +244,33 @@
         running.request_stop()
         await running.end()
         await before
-    (began,) = told(caplog, "entry draining")
-    (ended,) = told(caplog, "entry drained")
+    (began,) = logged(caplog, "entry draining")
+    (ended,) = logged(caplog, "entry drained")
     assert (began.running, began.connections) == (1, 1)
     assert (ended.running, ended.connections) == (1, 1)
     assert 0.3 < ended.seconds < 1.0
 
 
-async def test_an_agents_stop_is_told_in_the_log(monkeypatch, caplog):
+async def test_an_agents_stop_is_logged(monkeypatch, caplog):
     caplog.set_level(logging.INFO)
     async with (
         endpoint() as (url, _),
         running_agent(monkeypatch, url, drain_seconds=0.6) as running,
     ):
-        connection = await link_to(running)
+        connection = await connect_as_entry(running)
         connection.send(request=build_request(path="/wait/2", budget_ms=9000))
         await running.until(lambda agent: agent.gate.running)
         running.request_stop()
         await running.end()
         connection.close()
-    (began,) = told(caplog, "agent draining")
-    (ended,) = told(caplog, "agent drained")
+    (began,) = logged(caplog, "agent draining")
+    (ended,) = logged(caplog, "agent drained")
     assert (began.running, ended.running, ended.unsent) == (1, 1, 0)
     assert 0.5 < ended.seconds < 1.6
 
 
-def told(caplog, message):
+def logged(caplog, message):
+    """Return the log records with a message."""
     return [record for record in caplog.records if record.getMessage() == message]
 
 
@@ -283,11 +284,11 @@
     return caller
 
 
-async def test_a_body_on_its_way_at_a_stop_is_waited_for(monkeypatch):
-    """A caller's link is slow, and its order is cut before it is even read.
+async def test_a_stopping_entry_waits_for_an_incomplete_body(monkeypatch):
+    """Guard against dropping a request whose body arrives slowly during a stop.
 
-    The request was no longer counted as one that runs, for it did not run yet. The
-    HTTP library drops what comes on connections that it has been told to close.
+    The request was not counted as running yet, and the HTTP library discards data on
+    connections that it is closing.
     """
     settings = {"notice_seconds": 0.1, "drain_seconds": 3.0}
     async with running_entry(monkeypatch, **settings) as (running, _):
@@ -300,13 +301,13 @@
 
 
 @pytest.mark.parametrize("late", [False, True])
-async def test_a_body_that_is_not_whole_at_the_end_is_refused_as_not_run(
+async def test_a_body_that_is_incomplete_at_the_end_is_refused_as_not_run(
     monkeypatch, late
 ):
-    """A caller must take an order for unknown of which no endpoint ever heard.
+    """Guard against an unknown outcome of a request that never reached an endpoint.
 
-    Its link is so slow that half of the order's body came before the process ended,
-    and its connection was closed without a word.
+    Only half of its body arrived before the process ended, and the connection was
+    closed without a response.
     """
     settings = {"notice_seconds": 0.3, "drain_seconds": 1.7}
     async with running_entry(monkeypatch, **settings) as (running, answers):
@@ -326,7 +327,7 @@
 
 
 async def answer_by_path(http_request):
-    """Answer after the seconds, or with the bytes, that the path names."""
+    """Respond after the seconds, or with the number of bytes, in the path."""
     kind, number = http_request.match_info["kind"], http_request.match_info["number"]
     if kind == "bytes":
         return web.Response(body=b"x" * int(number))
@@ -340,7 +341,7 @@
 
 @contextlib.asynccontextmanager
 async def endpoint():
-    """Run an endpoint; yield its URL and the paths that it has answered."""
+    """Run an endpoint; yield (URL, paths of the finished /wait requests)."""
     application = web.Application()
     application[SEEN] = []
     application.router.add_post("/{kind}/{number}", answer_by_path)
@@ -353,8 +354,8 @@
         await runner.cleanup()
 
 
-async def link_to(running):
-    """Return a connection to an agent, as an entry opens one."""
+async def connect_as_entry(running):
+    """Return an authenticated connection to an agent."""
     sock = await open_socket(running.port)
     settings = running.process.settings
     options = {}
@@ -368,7 +369,7 @@
 
 
 async def read_end(connection, number, seconds=10.0):
-    """Return (bytes, End) of a request; the End is None when the link ends first."""
+    """Return (body size, End) of a request; End is None if none is received."""
     size = 0
     async with asyncio.timeout(seconds):
         while (frame := await connection.receive()) is not None:
@@ -381,24 +382,25 @@
 
 
 async def close_at_the_end(connection):
-    """Read until the agent says that nothing more comes, as entries do."""
+    """Read until the agent ends its side, then close, as entries do."""
     while await connection.receive() is not None:
         pass
     connection.close()
 
 
-def narrow_sessions(agent):
+def shrink_send_buffers(agent):
+    """Shrink the send buffers of all sessions of an agent."""
     for session in agent.sessions:
         shrink_send_buffer(session.connection.writer.transport)
 
 
-def runs(agent):
-    """Tell whether an agent has a request whose End is not queued for its entry."""
+def has_unsent_end(agent):
+    """Return whether an agent has a request whose End is not queued for its entry."""
     return agent.tickets or any(session.relays for session in agent.sessions)
 
 
 def ask_unread(connection):
-    """Ask an agent for a long answer, and read none of it yet."""
+    """Request a long response from an agent without reading it."""
     path = f"/bytes/{LINK_BYTES}"
     connection.writer.transport.pause_reading()
     connection.send(request=build_request(path=path, window=2 * LINK_BYTES))
@@ -408,21 +410,23 @@
 async def test_a_stopping_agent_sends_an_answer_to_its_last_byte(
     monkeypatch, tmp_path, tls
 ):
-    """A booking that ran ends as unknown, and neither its service nor a link failed.
+    """Guard against an unknown outcome of a booking that ran without a failure.
 
-    Its agent was told to stop when the end of the answer stood in the agent's own
-    buffer, behind a slow link to the entry.
+    Its agent was stopped while the end of the response was still in the agent's buffer,
+    because the connection to the entry was slow.
     """
     files = Authority(tmp_path).issue("peers") if tls else None
     async with (
         endpoint() as (url, _),
         running_agent(monkeypatch, url, peer_tls=files) as running,
     ):
-        connection = await link_to(running)
+        connection = await connect_as_entry(running)
         await running.until(lambda agent: agent.sessions)
-        running.loop.call_soon_threadsafe(narrow_sessions, running.process)
+        running.loop.call_soon_threadsafe(shrink_send_buffers, running.process)
         ask_unread(connection)
-        await running.until(lambda agent: agent.gate.answers and not runs(agent))
+        await running.until(
+            lambda agent: agent.gate.answers and not has_unsent_end(agent)
+        )
         running.request_stop()
         await asyncio.sleep(0.5)
         connection.writer.transport.resume_reading()
@@ -433,6 +437,7 @@
 
 
 async def send_heartbeats(connection):
+    """Send heartbeats until the connection is closed."""
     while not connection.writer.is_closing():
         connection.send(heartbeat=members.Heartbeat(version=0))
         await asyncio.sleep(0.1)
@@ -442,20 +447,22 @@
 async def test_heartbeats_do_not_lose_the_end_of_a_stopping_agents_answer(
     monkeypatch, tmp_path, tls
 ):
-    """A booking that ran ends as unknown; its agent had handed all of it to the kernel.
+    """Guard against a reset that discards the end of a stopping agent's response.
 
-    The agent ended, and its machine answered the entry's next heartbeat with a reset:
-    nobody was there to read it. A reset drops what is not yet delivered.
+    The agent had passed all data to the kernel and ended. The entry's next heartbeat
+    was answered by a reset, which discards data that is not delivered yet.
     """
     files = Authority(tmp_path).issue("peers") if tls else None
     async with (
         endpoint() as (url, _),
         running_agent(monkeypatch, url, peer_tls=files) as running,
     ):
-        connection = await link_to(running)
+        connection = await connect_as_entry(running)
         await running.until(lambda agent: agent.sessions)
         ask_unread(connection)
-        await running.until(lambda agent: agent.gate.answers and not runs(agent))
+        await running.until(
+            lambda agent: agent.gate.answers and not has_unsent_end(agent)
+        )
         beating = asyncio.create_task(send_heartbeats(connection))
         running.request_stop()
         await asyncio.sleep(1.0)
@@ -468,17 +475,17 @@
         beating.cancel()
 
 
-async def test_what_crosses_an_agents_last_word_is_refused_and_not_lost(monkeypatch):
-    """A booking is sent while the word that its agent leaves is on its way.
+async def test_a_request_sent_while_an_agent_announces_its_stop_is_refused(monkeypatch):
+    """Guard against an unknown outcome of a request that crosses the agent's notice.
 
-    The agent had nothing that ran and was gone 50 ms after that word. The booking
-    never reached its service and ends as unknown.
+    The agent had no running requests and ended 50 ms after it announced its stop, so
+    the booking was lost before it reached the service.
     """
     async with (
         endpoint() as (url, seen),
         running_agent(monkeypatch, url) as running,
     ):
-        connection = await link_to(running)
+        connection = await connect_as_entry(running)
         await running.until(lambda agent: agent.sessions)
         running.request_stop()
         await asyncio.sleep(0.2)
@@ -491,20 +498,20 @@
     assert seen == []
 
 
-async def test_what_is_asked_after_an_agents_last_word_is_answered_over_tls(
+async def test_a_request_after_an_agent_finished_its_connection_is_refused_over_tls(
     monkeypatch, tmp_path
 ):
-    """A booking that never ran ends as unknown where agents speak TLS.
+    """Guard against an unknown outcome of a request that never ran over TLS.
 
-    An agent that stops has nothing left to tell and finishes its connections. TLS can't
-    be half closed, so the entry hears nothing of it and asks; the refusal was dropped.
+    A stopping agent finishes its side of a connection. TLS can't be half closed, so the
+    entry does not notice and sends a request; the agent's refusal was dropped.
     """
     files = Authority(tmp_path).issue("peers")
     async with (
         endpoint() as (url, seen),
         running_agent(monkeypatch, url, peer_tls=files) as running,
     ):
-        connection = await link_to(running)
+        connection = await connect_as_entry(running)
         await running.until(lambda agent: agent.sessions)
         running.process.gate.close(leaving=True)
         (session,) = running.process.sessions
@@ -518,17 +525,17 @@
     assert seen == []
 
 
-async def test_a_stopping_agent_answers_what_it_is_asked_of_a_key(monkeypatch):
-    """An entry asks whether a booking ran, and its caller is told unknown.
+async def test_a_stopping_agent_answers_a_fence(monkeypatch):
+    """Guard against an unknown outcome because a stopping agent ignores a fence.
 
-    The agent waited a little for the booking, which might still have been on its way,
-    and was told to stop meanwhile. Nothing ran, so it ended with the question open.
+    The agent waited for the booking, which might still arrive, and was stopped
+    meanwhile. It had no running requests and ended without a reply.
     """
     async with (
         endpoint() as (url, _),
         running_agent(monkeypatch, url) as running,
     ):
-        connection = await link_to(running)
+        connection = await connect_as_entry(running)
         fence = frames.Fence(1, 1, "key-1", 1, incarnation=1, patience_ms=1500)
         connection.send(fence=fence)
         await asyncio.sleep(0.1)
@@ -549,14 +556,14 @@
     return None
 
 
-async def test_an_entry_that_takes_nothing_does_not_hold_up_an_agents_stop(monkeypatch):
+async def test_an_entry_that_reads_nothing_does_not_delay_an_agents_stop(monkeypatch):
     async with (
         endpoint() as (url, _),
         running_agent(monkeypatch, url, drain_seconds=0.8) as running,
     ):
-        connection = await link_to(running)
+        connection = await connect_as_entry(running)
         await running.until(lambda agent: agent.sessions)
-        running.loop.call_soon_threadsafe(narrow_sessions, running.process)
+        running.loop.call_soon_threadsafe(shrink_send_buffers, running.process)
         ask_unread(connection)
         await running.until(lambda agent: agent.gate.answers)
         running.request_stop()
@@ -564,17 +571,17 @@
         connection.close()
 
 
-async def test_what_waits_at_a_stopping_agent_is_refused_at_once(monkeypatch):
-    """A request waits for a place at an endpoint whose agent stops.
+async def test_requests_queued_at_a_stopping_agent_are_refused_at_once(monkeypatch):
+    """Guard against requests that wait in the queue of a stopping agent.
 
-    It must be told at once that it did not run, so that its entry sends it elsewhere,
-    while the one that runs comes to its end.
+    They must be refused as not run at once, so that the entry can send them elsewhere,
+    while running requests finish.
     """
     async with (
         endpoint() as (url, seen),
         running_agent(monkeypatch, url, cold_limit=1, warm_limit=1) as running,
     ):
-        connection = await link_to(running)
+        connection = await connect_as_entry(running)
         path = "/wait/0.8"
         for number in (1, 2):
             key = f"key-{number}"
@@ -594,31 +601,31 @@
         connection.close()
 
 
-async def test_what_has_run_at_a_stopping_agent_is_told_on_a_new_connection(
+async def test_a_stopping_agent_reports_a_result_on_a_new_connection(
     monkeypatch,
 ):
-    """An entry's connection is lost while a booking runs at an agent that stops.
+    """Guard against an unknown outcome if an entry reconnects to a stopping agent.
 
-    The booking ends well. Its entry is back half a second later and finds nobody: the
-    agent had nothing left to run, and the booking ends as unknown.
+    The connection was lost while a booking ran. The booking succeeded, but the agent
+    had no more running requests and ended before the entry had reconnected.
     """
     async with (
         endpoint() as (url, _),
         running_agent(monkeypatch, url, drain_seconds=5.0) as running,
     ):
-        connection = await link_to(running)
+        connection = await connect_as_entry(running)
         asked = {"path": "/wait/0.5", "key": "key-1", "incarnation": 1}
         connection.send(request=build_request(**asked))
         await running.until(lambda agent: agent.gate.running)
         connection.writer.transport.abort()
         running.request_stop()
         await asyncio.sleep(1.0)
-        connection = await link_to(running)
+        connection = await connect_as_entry(running)
         connection.send(request=build_request(attach_only=True, **asked))
         size, end = await read_end(connection, 1)
         assert (size, end.outcome) == (5, Outcome.ANSWERED)
         connection.send(recorded=frames.Recorded("key-1", False))
         closing = asyncio.create_task(close_at_the_end(connection))
-        # Not the 2 s more for which it waits when nobody says to have the answer.
+        # Without the acknowledgement of the answer, the agent waits for 2 s more.
         assert await running.end() < 2.0
         await closing
--- a/tests/integration/test_process_logs.py
+++ b/tests/integration/test_process_logs.py
@@ -1,4 +1,4 @@
-"""Check that processes write their logs where they are collected."""
+"""Check that processes write their logs to standard output."""
 
 import asyncio
 import json
@@ -11,7 +11,7 @@
 
 
 async def first_line(module, settings, path):
-    """Run a program until it has written a line to standard output; return that."""
+    """Run a program and return the first line of its standard output, decoded."""
     path.write_text(json.dumps(settings))
     process = await asyncio.create_subprocess_exec(
         *(sys.executable, "-m", *module, "--settings", str(path)),
@@ -38,9 +38,9 @@
     ids=["entry", "agent"],
 )
 async def test_logs_go_to_standard_output(module, changes, tmp_path):
-    """Nothing is known of a night's failures: the logs were never collected.
+    """Guard against logs that are lost because they are on standard error.
 
-    The process wrote them to standard error, and the other is what is kept.
+    Only standard output is collected.
     """
     (port,) = free_ports(1)
     settings = {
--- a/tests/integration/test_requests.py
+++ b/tests/integration/test_requests.py
@@ -1,4 +1,4 @@
-"""Check what operators see of requests of a real site."""
+"""Check how a site handles a planned stop and shows requests to operators."""
 
 import asyncio
 import json
@@ -12,18 +12,18 @@
 
 
 async def book_behind_a_balancer(site, entry, caller):
-    """Send bookings one after the other until /readyz turns down; return records."""
+    """Send bookings one after the other until /readyz fails; return their records."""
     records = []
     while await site.answers(f"{entry.url}/readyz"):
         records.append(await caller.book(f"order-{len(records)}"))
     return records
 
 
-async def test_a_planned_stop_of_an_entry_cuts_no_request():
-    """Operators replace an entry instance while receptionists order.
+async def test_a_planned_stop_of_an_entry_truncates_no_request():
+    """Guard against requests that are lost when an entry is replaced.
 
-    The balancer notices only at its next check, so orders still come in for a moment;
-    each must get its whole answer, and what runs must come to its end.
+    The balancer notices only at its next check, so requests still arrive for a moment;
+    all of them must be answered, and running ones must finish.
     """
     shape = SiteShape(
         entries=1, engines=0, services=1, entry_settings={"notice_seconds": 1.0}
@@ -45,8 +45,8 @@
     assert all(record.whole and record.status == 201 for record in records)
 
 
-async def test_an_operator_sees_what_became_of_a_key(capsys):
-    """A receptionist isn't sure that her order was taken, and calls the operators."""
+async def test_an_operator_sees_the_state_of_a_key(capsys):
+    """Check that operators can find out whether the request of a key ran."""
     async with Site(SiteShape(entries=1, engines=0), ["club"]) as site:
         caller = Caller(site.session, site.entries[0].url, "club", site.keys["club"])
         url = f"{caller.url}/services/bookings/bookings"
@@ -66,6 +66,7 @@
 
 
 def show(site, capsys, *arguments):
+    """Run the show command; return (exit code, output)."""
     token = site.directory / "token"
     token.write_text(site.operator_token)
     options = ["--entry", site.entries[0].url, "--token-file", str(token)]
@@ -73,8 +74,8 @@
     return code, capsys.readouterr().out
 
 
-async def test_an_operator_sees_why_a_request_went_where_it_went(capsys):
-    """A club asks why its advice was late; the operator has the id from its program."""
+async def test_an_operator_sees_the_trace_of_a_request(capsys):
+    """Check that operators can trace a slow request by its id."""
     async with Site(SiteShape(entries=1, engines=2, services=0), ["club"]) as site:
         caller = Caller(site.session, site.entries[0].url, "club", site.keys["club"])
         url = f"{caller.url}/v1/completions"
@@ -87,8 +88,8 @@
         )
         missing, _ = await asyncio.to_thread(show, site, capsys, "request", "none")
     assert (code, missing) == (0, 1)
-    # How many attempts it takes hangs on how busy this machine is; that the trace
-    # tells of each of them does not.
+    # The number of attempts depends on the load of this machine; the trace must show
+    # each of them.
     attempts = int(re.search(r"answered \(ok\) after (\d+) attempts", text)[1])
     steps = [event["step"] for event in json.loads(data)["events"]]
     assert steps.count("sent") == attempts
--- a/tests/integration/test_restarts.py
+++ b/tests/integration/test_restarts.py
@@ -1,4 +1,4 @@
-"""Check that changes hold through restarts and outages of the platform."""
+"""Check changes of the configuration during restarts and outages of the platform."""
 
 import asyncio
 import uuid
@@ -13,7 +13,7 @@
 
 
 async def keep_changing(site, stopped):
-    """Apply changes through any entry that answers until stopped; count them."""
+    """Apply changes through all entries until stopped; return the number accepted."""
     accepted = 0
     while not stopped.is_set():
         for entry in site.entries:
@@ -23,19 +23,19 @@
                     status, _ = await site.operate(entry, "apply", build_change(shown))
                     accepted += status == 200
             except (OSError, aiohttp.ServerDisconnectedError):
-                # This one is just being restarted; a change cut here may be accepted.
-                # Its port can take a connection in the instant before it closes.
+                # The entry is being restarted; a change without a response may still be
+                # accepted. A closing port can accept a connection.
                 continue
         await asyncio.sleep(0.05)
     return accepted
 
 
 async def test_no_process_falls_back_while_all_are_restarted_during_changes():
-    """After a night of restarts one zone serves by yesterday's shares.
+    """Guard against processes that return to an older version after a restart.
 
-    Each process restarts with nothing and starts from whoever answers first, which may
-    be one that lags; changes go on meanwhile. What a process ran before, and what it
-    runs after, may only rise, and in the end all run the newest.
+    A process starts without state and takes the version of the first peer that answers,
+    which may lag. The versions of a process must only increase, and in the end all
+    processes must have the newest one.
     """
     async with Site(SMALL, ["club"]) as site:
         stopped = asyncio.Event()
@@ -59,11 +59,11 @@
             assert versions == sorted(versions), member.name
 
 
-async def test_a_change_tried_while_the_platform_is_out_is_accepted_once_or_not():
-    """An operator's change meets an outage, and nobody can say what became of it.
+async def test_a_change_during_an_outage_is_accepted_at_most_once():
+    """Guard against a change that is applied twice or reported wrongly in an outage.
 
-    The platform goes away in the middle of it. The answer must not guess; asking again
-    with the same id settles it, and the trail holds it once.
+    The platform fails during the change, so the response must not claim a result. A
+    repeat with the same id shows the result, and the audit has the change once.
     """
     async with Site(SMALL, ["club"]) as site:
         entry = site.entries[0]
--- a/tests/integration/test_site.py
+++ b/tests/integration/test_site.py
@@ -1,4 +1,4 @@
-"""Check the whole path with real processes."""
+"""Check requests through a site of real processes."""
 
 import asyncio
 
@@ -7,11 +7,11 @@
 from fescuedrum_bench.site import Site, SiteShape
 
 
-async def test_a_key_sent_through_two_entries_books_once():
-    """A receptionist taps twice and the balancer picks another entry each time.
+async def test_a_key_that_is_sent_through_two_entries_runs_once():
+    """Guard against running a request twice that two entries get at the same time.
 
-    Both entries get the same key at the same moment; without the claim each would
-    send it to the service, and the order would be packed and charged twice.
+    A caller repeats a key at once, and the balancer chooses another entry. Without the
+    claim, each entry would send the booking to the service.
     """
     async with Site(SiteShape(engines=1), ["club"]) as site:
         callers = [
@@ -29,7 +29,7 @@
     assert sum(executions.values()) == 20
 
 
-async def test_bad_input_gets_a_clear_refusal_and_costs_no_endpoint_anything():
+async def test_invalid_requests_are_refused_and_reach_no_endpoint():
     async with Site(SiteShape(entries=1, engines=1), ["club"]) as site:
         (entry,) = site.entries
         caller = Caller(site.session, entry.url, "club", "club.wrong")
--- a/tests/integration/test_store_sharing.py
+++ b/tests/integration/test_store_sharing.py
@@ -1,4 +1,4 @@
-"""Check that few gateways call the store and all follow it."""
+"""Check that few gateways read the store and all get its changes."""
 
 import asyncio
 import collections
@@ -19,15 +19,15 @@
 from fescuedrum_gateway.version.replica import Replica
 
 GATEWAYS = STORE_READERS + 4
-# Beacons of so many gateways come every 0.4 s, and one may be lost.
+# With this many gateways, beacons are sent every 0.4 s, and one may be lost.
 SETTLED_SECONDS = 3.0
 IN_FORCE_SECONDS = 2.0
-# What it takes a peer to give a change.
+# Time of a peer to send a change.
 PULL_SECONDS = 0.1
 
 
 class CountingStore(MemoryRowStore):
-    """Count the calls that wait for changes at the moment."""
+    """Count the calls that are currently waiting for changes."""
 
     def __init__(self):
         super().__init__()
@@ -43,7 +43,7 @@
 
 @contextlib.asynccontextmanager
 async def running_gateways(store, count):
-    """Run gateways on addresses of their own; all know the first as their seed."""
+    """Run gateways on separate addresses; the first is the seed of all."""
     ports = free_ports(3)
     hosts = [f"127.0.0.{number + 2}" for number in range(count)]
     async with contextlib.AsyncExitStack() as stack:
@@ -57,6 +57,7 @@
 
 
 async def wait_for_version(running, version):
+    """Wait until all gateways have a version of the configuration."""
     for each in running:
         await each.until(
             lambda gateway: gateway.configuration.version == version,
@@ -65,20 +66,20 @@
 
 
 async def wait_for_readers(store):
-    """Wait until two tables of each reader, and no more, wait for changes."""
+    """Wait until exactly two calls of each reader wait for changes."""
     async with asyncio.timeout(SETTLED_SECONDS):
         while store.waiting != 2 * STORE_READERS:
-            # What rests now still waits for its last call: a change ends it.
+            # Gateways that stopped reading end their last call at a change.
             store.put("endpoints", "nobody", None)
             store.put("operators", "nothing", None)
             await asyncio.sleep(0.2)
 
 
-async def test_few_gateways_call_the_store_and_all_follow_it():
-    """The store answers 429, and nobody learns of a change any more.
+async def test_few_gateways_read_the_store_and_all_get_its_changes():
+    """Guard against a store that refuses all gateways with 429.
 
-    Tens of gateways each waited for every change, so that a release of engines cost
-    more calls than the store's rates allow.
+    Tens of gateways each waited for every change, so a release of engines caused more
+    calls than the store's rate limit allows.
     """
     store = CountingStore()
     store.put("operators", "document", build_routing_document(version=1))
@@ -100,12 +101,12 @@
         await wait_for_version(left, 3)
 
 
-async def test_a_large_configuration_goes_compressed_to_gateways_that_ask():
-    """A new route answers 404 at half of a hundred gateways for longer than allowed.
+async def test_a_large_configuration_is_sent_compressed_to_other_gateways():
+    """Guard against a large configuration that takes too long to reach all gateways.
 
-    The configuration grew by 1,480 routes to half a megabyte. All that leave the store
-    to others asked the same six for it; their links took seconds, each asker gave up
-    after one and asked another.
+    The configuration grew by 1,480 routes to half a megabyte, and the links of the six
+    readers took seconds to send it to all others, which gave up after 1 s and asked
+    another reader. Half of a hundred gateways answered 404 for a new route too long.
     """
     store = MemoryRowStore()
     store.put("operators", "document", build_routing_document())
@@ -132,13 +133,13 @@
     assert sent < len(body) / 8
 
 
-class PlayedFollower(TableFollower):
-    """Note whom a follower asks, and when; asking takes a while."""
+class RecordingFollower(TableFollower):
+    """Record which peers a follower asks and when; each call takes PULL_SECONDS."""
 
     def __init__(self, peers, answered, seed=1):
         settings = build_settings("gateway-1", "127.0.0.1", (1, 2, 3), zone="zone-1")
-        replica, chance = Replica("operators"), random.Random(seed)
-        super().__init__("operators", replica, None, peers, None, settings, chance)
+        replica, rng = Replica("operators"), random.Random(seed)
+        super().__init__("operators", replica, None, peers, None, settings, rng)
         self.answered = answered
         self.asked = []
 
@@ -148,26 +149,27 @@
         return self.answered(self)
 
 
-async def test_changes_are_asked_of_the_own_zone_first():
-    """A change of half a megabyte crosses the links between zones eighty times."""
+async def test_changes_are_requested_from_the_same_zone_first():
+    """Guard against sending a change of half a megabyte between zones eighty times."""
     zones = ["zone-8", "zone-1", "zone-9", "zone-1", "zone-7"]
     ahead = [SimpleNamespace(zone=zone) for zone in zones]
     peers = SimpleNamespace(
         peers_ahead_of=lambda table, version: list(ahead),
         count_sharing_gateways=lambda: 6,
     )
-    follower = PlayedFollower(peers, answered=lambda follower: False)
+    follower = RecordingFollower(peers, answered=lambda follower: False)
     await follower.pull()
     asked = [peer.zone for _, peer in follower.asked]
     assert asked[:2] == ["zone-1", "zone-1"]
     assert sorted(asked) == sorted(zones)
 
 
-def test_gateways_that_hear_of_a_change_together_do_not_all_ask_the_same():
-    """A new route answers 404 at half of a hundred gateways for longer than allowed.
+def test_gateways_that_learn_of_a_change_together_ask_different_peers():
+    """Guard against all gateways requesting a change from the same reader.
 
-    The first reader tells them all of a new version some milliseconds before the other
-    readers do, so that it alone was ahead when all asked at once.
+    The first reader announces a new version some milliseconds before the others, so it
+    was the only peer ahead when all gateways asked at once. Half of a hundred gateways
+    then answered 404 for a new route longer than allowed.
     """
 
     async def run():
@@ -185,7 +187,7 @@
             ahead.append(SimpleNamespace(host=id(follower), zone="zone-1"))
             return True
 
-        followers = [PlayedFollower(peers, answered, seed) for seed in range(92)]
+        followers = [RecordingFollower(peers, answered, seed) for seed in range(92)]
         await asyncio.gather(*(each.pull() for each in followers))
         return [each.asked for each in followers]
 
--- a/tests/integration/test_zones.py
+++ b/tests/integration/test_zones.py
@@ -1,4 +1,4 @@
-"""Check that a zone goes out and comes back without a request cut."""
+"""Check that a zone is taken out and put back without truncated requests."""
 
 import asyncio
 import random
@@ -13,16 +13,17 @@
 
 
 async def wait_for_work(site, known):
+    """Wait until more requests than the known number have started in the zone."""
     async with asyncio.timeout(20):
         while await site.count_started(ZONE) == known:
             await asyncio.sleep(0.05)
 
 
-async def test_a_zone_goes_out_and_comes_back_under_load_and_nobody_is_cut():
-    """A club's booking is cut when operators take its zone out for repairs.
+async def test_a_zone_is_taken_out_and_put_back_under_load_without_loss():
+    """Guard against requests that are lost when operators take their zone out.
 
-    The zone is taken out while requests run in it. They must end whole; new ones must
-    go elsewhere within seconds, and come back, a few at first, with the zone.
+    Running requests must finish. New ones must go to other zones within seconds, and
+    return with the zone, few at first.
     """
     async with Site(SHAPE, ["club", "county"]) as site:
         traffic = Traffic(site, random.Random(7), requests_per_second=25)
