--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/directory.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/directory.py
@@ -251,13 +251,13 @@
             return PlacementLimits()
         self.shares.follow(self.peers.sharing_zones())
         is_engine = routed_service.engine is not None
-        strain = self.strain(service) if is_engine else 0.0
+        pass_ratio = self.pass_ratio(service) if is_engine else 0.0
         return PlacementLimits(
             request_limit=lambda endpoint: request_limit(
                 endpoint.slots,
                 is_engine=is_engine,
                 is_caller_retry=is_caller_retry,
-                strain=strain,
+                pass_ratio=pass_ratio,
                 ranks=endpoints,
             ),
             arrivals=self.build_cold_bound(routed_service),
@@ -289,8 +289,8 @@
             return None
         return self.shares.allowed(endpoint.name, endpoint.zone, total)
 
-    def strain(self, service):
-        """Return the duration of a pass over the pause allowed; 0 if unknown."""
+    def pass_ratio(self, service):
+        """Return the ratio of pass length to the pause allowed; 0 if unknown."""
         pause = self.configuration.table.allowed_pauses.get(service)
         current = self.pass_timers[service].current_pass_seconds(self.loop.time())
         return current / pause if pause and current else 0.0
--- a/packages/fescuedrum/src/fescuedrum/decisions/rooms.py
+++ b/packages/fescuedrum/src/fescuedrum/decisions/rooms.py
@@ -30,7 +30,7 @@
 MAXIMUM_WAITING = 2
 # Highest ratio of pass length to the pause that callers allow, in a group of
 # BASE_RANKS, at which requests may wait at an engine.
-WAITING_STRAIN = 0.5
+MAXIMUM_WAITING_PASS_RATIO = 0.5
 BASE_RANKS = 12
 SHIFT_GROWTH = 0.125
 CALLER_RETRY_SHARE = 2 / 3
@@ -42,19 +42,19 @@
     *,
     is_engine: bool,
     is_caller_retry: bool,
-    strain: float = 0.0,
+    pass_ratio: float = 0.0,
     ranks: int = BASE_RANKS,
 ) -> int:
     """Return how many requests may be at an endpoint with this many slots.
 
-    strain is the ratio of its group's pass length to the pause that callers allow;
+    pass_ratio is the ratio of its group's pass length to the pause that callers allow;
     ranks is the number of engines of its service.
     """
     if not is_engine:
         return slots * PLAIN_ROUNDS
     if is_caller_retry:
         return max(int(slots * CALLER_RETRY_SHARE), 1)
-    may_wait = strain * shift_factor(ranks) <= WAITING_STRAIN
+    may_wait = pass_ratio * shift_factor(ranks) <= MAXIMUM_WAITING_PASS_RATIO
     return slots + MAXIMUM_WAITING if may_wait else slots
 
 
--- a/tests/support/overload.py
+++ b/tests/support/overload.py
@@ -85,12 +85,12 @@
         left = caller.gives_up_at - now
         is_caller_retry = not self.patience_tracker.is_fresh(left)
         engine = min(self.engines, key=lambda each: each.requests)
-        strain = self.pass_seconds() / PAUSE_SECONDS
+        pass_ratio = self.pass_seconds() / PAUSE_SECONDS
         bound = request_limit(
             SLOTS,
             is_engine=True,
             is_caller_retry=is_caller_retry,
-            strain=strain,
+            pass_ratio=pass_ratio,
             ranks=ENGINES,
         )
         if engine.requests < bound:
--- a/tests/unit/test_rooms.py
+++ b/tests/unit/test_rooms.py
@@ -4,7 +4,7 @@
 from support.routing import build_route, build_routing_document
 
 from fescuedrum.conf.routing import RoutingTable
-from fescuedrum.decisions.rooms import WAITING_STRAIN, request_limit
+from fescuedrum.decisions.rooms import MAXIMUM_WAITING_PASS_RATIO, request_limit
 
 SLOTS = 5
 PAUSE_SECONDS = 0.12
@@ -18,9 +18,9 @@
 ENGINES = 63
 
 
-def engine_limit(strain, is_caller_retry=False):
+def engine_limit(pass_ratio, is_caller_retry=False):
     return request_limit(
-        SLOTS, is_engine=True, is_caller_retry=is_caller_retry, strain=strain
+        SLOTS, is_engine=True, is_caller_retry=is_caller_retry, pass_ratio=pass_ratio
     )
 
 
@@ -33,7 +33,7 @@
 def simulate(arrivals, seconds, limit):
     """Simulate a group and return the lengths of its passes.
 
-    limit(strain) is the maximum number of requests at each engine.
+    limit(pass_ratio) is the maximum number of requests at each engine.
     """
     running, lengths, now = 0.0, [], 0.0
     while now < seconds:
@@ -48,17 +48,17 @@
 
 def test_a_few_requests_may_wait_while_passes_are_short():
     assert engine_limit(0.0) > SLOTS
-    assert engine_limit(WAITING_STRAIN) > SLOTS
+    assert engine_limit(MAXIMUM_WAITING_PASS_RATIO) > SLOTS
 
 
-@pytest.mark.parametrize("strain", [0.51, 0.85, 1.0, 1.25])
-def test_all_slots_are_used_and_none_waits_while_passes_are_long(strain):
+@pytest.mark.parametrize("pass_ratio", [0.51, 0.85, 1.0, 1.25])
+def test_all_slots_are_used_and_none_waits_while_passes_are_long(pass_ratio):
     """Callers are refused after an outage while a quarter of the slots is free."""
-    assert engine_limit(strain) == SLOTS
-    assert 1 <= engine_limit(strain, is_caller_retry=True) < SLOTS
+    assert engine_limit(pass_ratio) == SLOTS
+    assert 1 <= engine_limit(pass_ratio, is_caller_retry=True) < SLOTS
 
 
-def test_the_limit_never_rises_with_strain():
+def test_the_limit_never_rises_with_the_pass_ratio():
     limits = [engine_limit(step / 20) for step in range(22)]
     assert limits == sorted(limits, reverse=True)
 
@@ -79,23 +79,24 @@
     of the pause allowed, this is harmless in a group of a dozen ranks, but in one of 63
     the longer passes come close to the whole pause.
     """
-    strain = 0.5
+    pass_ratio = 0.5
     small = request_limit(
-        SLOTS, is_engine=True, is_caller_retry=False, strain=strain, ranks=12
+        SLOTS, is_engine=True, is_caller_retry=False, pass_ratio=pass_ratio, ranks=12
     )
     large = request_limit(
-        SLOTS, is_engine=True, is_caller_retry=False, strain=strain, ranks=63
+        SLOTS, is_engine=True, is_caller_retry=False, pass_ratio=pass_ratio, ranks=63
     )
     assert large < small
     calm = request_limit(
-        SLOTS, is_engine=True, is_caller_retry=False, strain=0.3, ranks=63
+        SLOTS, is_engine=True, is_caller_retry=False, pass_ratio=0.3, ranks=63
     )
     assert calm > SLOTS
 
 
-def test_strain_does_not_limit_plain_services():
+def test_the_pass_ratio_does_not_limit_plain_services():
     assert (
-        request_limit(SLOTS, is_engine=False, is_caller_retry=False, strain=9.0) > SLOTS
+        request_limit(SLOTS, is_engine=False, is_caller_retry=False, pass_ratio=9.0)
+        > SLOTS
     )
 
 
@@ -105,7 +106,7 @@
     Each engine runs as many requests as it has slots; passes become longer with the
     number of requests, and longer passes keep requests at the engine for longer.
     """
-    unbounded = simulate(250, 20.0, lambda strain: SLOTS + 2)
+    unbounded = simulate(250, 20.0, lambda pass_ratio: SLOTS + 2)
     bounded = simulate(250, 20.0, engine_limit)
     assert bounded[-1] < unbounded[-1]
     assert bounded[-1] < 0.6 * PAUSE_SECONDS
