--- a/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/demand.py
+++ b/packages/fescuedrum-gateway/src/fescuedrum_gateway/process/demand.py
@@ -15,8 +15,7 @@
 MAX_SAMPLED_RANKS = 3
 # A read also stops the group, half a millisecond for every 400 counts, at a time when
 # passes are long. With 2,016 counts per rank, reading three ranks makes more passes
-# longer than the pause that streams allow. In two runs of a busy day the score was 0.46
-# with three ranks and 0.48 with two.
+# longer than the pause that streams allow.
 MAX_SAMPLED_COUNTS = 4500
 MIN_SAMPLED_RANKS = 2
 # Time between the two reads of a measurement.
