--- a/tests/support/groups.py
+++ b/tests/support/groups.py
@@ -35,7 +35,7 @@
 
 
 class StandInGroup:
-    """Implement Engines for the ranks of one group; an address is (host, rank).
+    """Implement EngineClient for one group; an address is (host, rank).
 
     mixed_passes lists the passes that began with different maps at the ranks.
     """
